--- a/laburnumsill/batch/__init__.py
+++ b/laburnumsill/batch/__init__.py
@@ -1,8 +1,8 @@
-"""Jobs of many tasks on one site's workers: ledger, planner, orders.
+"""Scheduling of batch jobs on the workers of one site.
 
-A job is a number of occurrences, each a directed acyclic graph of steps, each
-a number of tasks. A task is run by a worker under a lease; a run that does
-not end well is followed by another one. `ledger` is the replicated record of
-all that, `planner` decides what runs where, and `scheduler` carries it out on
-the VM that leads.
+A job has one or more occurrences, each a directed acyclic graph of steps, and
+a step has one or more tasks. A worker runs a task under a lease; a run that
+fails or is stopped is followed by another run. `ledger` is the replicated state
+of jobs, runs and workers, `planner` decides which worker runs which task, and
+`scheduler` executes the plans on the leader.
 """
--- a/laburnumsill/batch/apart.py
+++ b/laburnumsill/batch/apart.py
@@ -1,48 +1,63 @@
-"""Where tasks go that may crash their workers, and where all others go.
+"""Isolation of tasks that are suspected of crashing their workers.
 
-Both sides only prefer to be apart: a job never waits for long because of it.
+Isolation is a preference: a job never waits long for it.
 """
 
 from collections import abc
 
 from laburnumsill.batch import packing
-from laburnumsill.batch import rooms as room_module
+from laburnumsill.batch import rooms
 from laburnumsill.batch import units
 
-Rooms = abc.Sequence[room_module.Room]
+Candidates = abc.Sequence[rooms.Candidate]
 
-Fit = abc.Callable[[Rooms], packing.Assignment]
-"""Returns where a unit fits among some workers."""
+Fit = abc.Callable[[Candidates], packing.Assignment]
+"""Returns an assignment of a unit to some candidates."""
 
 
-def fit_other(unit: units.Unit, rooms: Rooms, fit: Fit) -> packing.Assignment:
-    """Returns where a unit fits, beside no suspect if that can be."""
-    quiet = [room for room in rooms if not room.holds_suspect]
-    found = fit(quiet)
-    if len(found) == len(unit.tasks) or len(quiet) == len(rooms):
+def fit_regular(
+    unit: units.Unit, candidates: Candidates, fit: Fit
+) -> packing.Assignment:
+    """Returns an assignment of a unit without suspects.
+
+    It avoids workers that run a suspect if the whole unit fits elsewhere.
+    """
+    without_suspects = [
+        candidate for candidate in candidates if not candidate.has_suspect
+    ]
+    found = fit(without_suspects)
+    if len(found) == len(unit.tasks) or len(without_suspects) == len(
+        candidates
+    ):
         return found
-    return fit(rooms)
+    return fit(candidates)
 
 
 def fit_suspect(
-    unit: units.Unit, rooms: Rooms, fit: Fit, may_share: bool
+    unit: units.Unit, candidates: Candidates, fit: Fit, may_share: bool
 ) -> packing.Assignment:
-    """Returns where a suspect fits: alone, or where the least runs.
+    """Returns an assignment of a suspect to idle workers or the least busy one.
 
-    Two suspects on one worker are blamed alike for its crash, which tells
-    nothing, so they share one only if each worker has a suspect.
+    If a worker with two suspects crashes, both get the same blame and neither
+    can be ruled out. So they share a worker only if every worker has a suspect.
 
     Args:
-        unit: The suspect, or a gang that has one.
-        rooms: The workers that may run it.
-        fit: Returns where it fits among some of them.
-        may_share: Whether it may go where others run.
+        unit: The suspect, or a gang with a suspect among its tasks.
+        candidates: The workers that may run it.
+        fit: Returns an assignment to some of them.
+        may_share: Whether it may share a worker with other runs.
     """
-    found = fit([room for room in rooms if not room.runs])
+    found = fit(
+        [candidate for candidate in candidates if not candidate.run_count]
+    )
     if found or not may_share:
         return found
-    quiet = [room for room in rooms if not room.holds_suspect] or rooms
+    without_suspects = [
+        candidate for candidate in candidates if not candidate.has_suspect
+    ] or candidates
     if unit.step.gang:
-        return fit(quiet)
-    by_runs = sorted(quiet, key=lambda room: room.runs)
-    return next(filter(None, (fit([room]) for room in by_runs)), [])
+        return fit(without_suspects)
+    by_runs = sorted(
+        without_suspects, key=lambda candidate: candidate.run_count
+    )
+    return next(filter(None, (fit([candidate]) for candidate in by_runs)), [])
--- a/laburnumsill/batch/checks.py
+++ b/laburnumsill/batch/checks.py
@@ -1,4 +1,4 @@
-"""Whether a group of runs may be placed."""
+"""Validation of placements when they are applied to the ledger."""
 
 from laburnumsill.batch import commands
 from laburnumsill.batch import ledger_view
@@ -10,8 +10,8 @@
 ) -> str:
     """Returns why a group may not be placed, "" if it may.
 
-    The planner works on a state that may be a few commands old; what it
-    decided is checked again here, in the order of the log.
+    The planner's state may be a few commands behind the log, so its decisions
+    are validated again when they are applied in the order of the log.
     """
     for placement in group:
         refusal = _task_refusal(ledger, placement) or _worker_refusal(
@@ -19,7 +19,7 @@
         )
         if refusal:
             return refusal
-    return _gang_refusal(ledger, group) or _room_refusal(ledger, group)
+    return _gang_refusal(ledger, group) or _capacity_refusal(ledger, group)
 
 
 def _task_refusal(
@@ -29,15 +29,15 @@
     job = ledger.jobs.get(task.job_id)
     if job is None or not job.active:
         return f"job {task.job_id} has ended"
-    known = job.task(task)
-    if known is None:
+    record = job.task(task)
+    if record is None:
         return f"no task {task}"
-    if known.done_run:
+    if record.done_run:
         return f"{task} is done"
     if ledger.live_run(task) is not None:
         return f"{task} has a live run"
-    if placement.run.number <= known.last_run:
-        return f"{task} has had run {known.last_run}"
+    if placement.run.number <= record.last_run:
+        return f"{task} already had run {record.last_run}"
     if not job.ready(task.occurrence, task.step):
         return f"{task} depends on a step that is not done"
     return ""
@@ -54,14 +54,14 @@
     job = ledger.jobs[placement.run.task.job_id].job
     step = job.steps[placement.run.task.step]
     if worker.pool != job.terms.pool:
-        return f"{worker.worker_id} works for {worker.pool}"
+        return f"{worker.worker_id} belongs to pool {worker.pool}"
     if step.required_label and step.required_label not in worker.labels:
         return f"{worker.worker_id} lacks the label {step.required_label}"
     return ""
 
 
 def _gang_refusal(ledger: ledger_view.LedgerView, group: commands.Group) -> str:
-    """Checks that gangs are whole and their members' runs have one number."""
+    """Returns a refusal unless gangs are complete and share a run number."""
     steps: dict[model.StepKey, list[model.RunId]] = {}
     for placement in group:
         key = placement.run.task.step_key
@@ -74,34 +74,36 @@
         if len(members) != step.tasks or len(runs) != step.tasks:
             return f"{len(runs)} of a gang of {step.tasks}"
         if len({run.number for run in runs}) != 1:
-            return "runs of a gang with different numbers"
+            return "runs of a gang have different numbers"
     return ""
 
 
-def _room_refusal(ledger: ledger_view.LedgerView, group: commands.Group) -> str:
+def _capacity_refusal(
+    ledger: ledger_view.LedgerView, group: commands.Group
+) -> str:
     free: dict[str, model.Resources] = {}
     counts: dict[tuple[str, model.StepKey], int] = {}
     for placement in group:
         worker_id = placement.worker_id
         task = placement.run.task
         step = ledger.jobs[task.job_id].job.steps[task.step]
-        room = free.get(worker_id) or ledger.free_on(worker_id)
-        if not step.needs.fits_in(room):
-            return f"no room for {task} on {worker_id}"
-        free[worker_id] = room - step.needs
+        free_here = free.get(worker_id) or ledger.free_on(worker_id)
+        if not step.needs.fits_in(free_here):
+            return f"not enough free capacity for {task} on {worker_id}"
+        free[worker_id] = free_here - step.needs
         key = (worker_id, task.step_key)
         if key not in counts:
             counts[key] = count_on(ledger, worker_id, task)
         counts[key] += 1
         if step.max_per_worker and counts[key] > step.max_per_worker:
-            return f"more than {step.max_per_worker} on {worker_id}"
+            return f"more than {step.max_per_worker} tasks on {worker_id}"
     return ""
 
 
 def count_on(
     ledger: ledger_view.LedgerView, worker_id: str, task: model.TaskId
 ) -> int:
-    """Returns how many live runs of a task's step a worker has."""
+    """Returns the number of live runs of a task's step on a worker."""
     return sum(
         run.task.step_key == task.step_key for run in ledger.runs_on(worker_id)
     )
--- a/laburnumsill/batch/contested_workers.py
+++ b/laburnumsill/batch/contested_workers.py
@@ -1,4 +1,4 @@
-"""Workers of which two claim one address or one name."""
+"""Detection of workers that claim the same address or the same name."""
 
 from collections import abc
 
@@ -8,16 +8,16 @@
 def contested(
     workers: abc.Collection[model.Worker], named: abc.Set[str]
 ) -> set[str]:
-    """Returns the workers that claim an address or a name of another's.
+    """Returns the ids of workers whose address or name another worker claims.
 
-    One of them has ended, and which one is not known until the address is
-    asked: a late announcement may be that of the ended one. One whose pool the
-    configuration does not name puts no other in doubt, since anyone may have
-    announced it.
+    All but one of the claimants have ended, and only a probe of the address
+    shows which one is left: an announcement of an ended worker may arrive late.
+    A worker whose pool is not in the configuration does not make others
+    contested, since anyone may have announced it.
 
     Args:
-        workers: All that are known.
-        named: The pools that the configuration names.
+        workers: All known workers.
+        named: The pools in the configuration.
 
     Examples:
         >>> old = model.Worker("old", "p", "a:1", "d", model.Resources())
--- a/laburnumsill/batch/headroom.py
+++ b/laburnumsill/batch/headroom.py
@@ -1,8 +1,8 @@
-"""How much room urgent jobs may need again soon.
+"""Headroom: capacity left free for the next urgent jobs.
 
-Urgent jobs come in bursts. What one of them has left would be taken at once by
-tasks that wait, which are stopped again for the next one: that costs the work
-and, worse, the time of a stop.
+Urgent jobs come in bursts. Without headroom, waiting tasks would start as soon
+as one urgent job ends and be preempted by the next. That loses their work and,
+worse, delays the urgent job until they have stopped.
 """
 
 import collections
@@ -13,49 +13,50 @@
 from laburnumsill.core import lately
 
 WINDOW_S = 8.0
-"""Urgent use of the last seconds counts: three times what an urgent job of the
-users takes."""
+"""Length of the sliding window over urgent demand, in seconds: three times the
+run time of the users' urgent jobs."""
 
 SHARE = 0.5
-"""Of the way back to the highest use, so much is kept free."""
+"""Part of the difference between the highest demand in the window and the
+current demand that is left free."""
 
 
 class Headroom:
-    """Remembers how much urgent jobs used lately.
+    """Computes headroom from the recent demand of urgent jobs.
 
     Examples:
         >>> headroom = Headroom()
-        >>> headroom.to_keep(40, 0.0), headroom.to_keep(10, 1.0)
+        >>> headroom.update(40, 0.0), headroom.update(10, 1.0)
         (0, 15)
-        >>> headroom.to_keep(10, 20.0)
+        >>> headroom.update(10, 20.0)
         0
     """
 
     def __init__(self) -> None:
-        self._used = lately.LargestLately(WINDOW_S)
+        self._recent = lately.LargestLately(WINDOW_S)
 
-    def to_keep(self, used: int, now: float) -> int:
-        """Returns how many accelerators should be left free.
+    def update(self, demand: int, now: float) -> int:
+        """Records the demand and returns how many accelerators to leave free.
 
         Args:
-            used: What urgent jobs use or wait for now.
-            now: Monotonic.
+            demand: Accelerators that urgent jobs use or wait for.
+            now: Monotonic time, in seconds.
         """
-        self._used.add(now, used)
-        return int(SHARE * (self._used.value - used))
+        self._recent.add(now, demand)
+        return int(SHARE * (self._recent.value - demand))
 
 
-def urgent_use(ledger: ledgers.BatchLedger) -> collections.Counter[str]:
-    """Returns the accelerators that urgent jobs need, by client account."""
-    use: collections.Counter[str] = collections.Counter()
+def urgent_demand(ledger: ledgers.BatchLedger) -> collections.Counter[str]:
+    """Returns the accelerators that active urgent jobs need, by account."""
+    demand: collections.Counter[str] = collections.Counter()
     for record in ledger.active_jobs.values():
         if record.job.terms.priority == packing.URGENT_PRIORITY:
-            use[record.job.account] += _accelerators(record.job)
-    return use
+            demand[record.job.account] += _accelerators(record.job)
+    return demand
 
 
 def _accelerators(job: model.Job) -> int:
-    """Returns the accelerators that a job needs at most at one time."""
+    """Returns the accelerators of a job's largest step."""
     return max(
         (step.tasks * step.needs.accelerators for step in job.steps), default=0
     )
--- a/laburnumsill/batch/keeping.py
+++ b/laburnumsill/batch/keeping.py
@@ -1,7 +1,7 @@
-"""Which rooms a gang that waits long keeps from others until it fits.
+"""Reservation of capacity for a gang that has waited long.
 
-Without that, small tasks take each room as it becomes free, and the gang never
-sees all that it needs free at one time.
+Without a reservation, small tasks use free capacity as soon as it appears, and
+there is never enough at one time for the gang.
 """
 
 import dataclasses
@@ -10,67 +10,74 @@
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import packing
 from laburnumsill.batch import records
-from laburnumsill.batch import rooms as room_module
+from laburnumsill.batch import rooms
 from laburnumsill.batch import units
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kept:
-    """What a gang keeps.
+class Reservation:
+    """Capacity reserved for a gang.
 
     Attributes:
-        rack: The rack that holds it, "" if it spans racks.
-        slots: The rooms, and for how many of its tasks each is kept.
+        rack: The reserved rack, "" if the gang is to span racks.
+        slots: Workers, each with the number of tasks it is reserved for.
     """
 
     rack: str
-    slots: abc.Sequence[tuple[room_module.Room, int]]
+    slots: abc.Sequence[tuple[rooms.Candidate, int]]
 
 
-def rooms_for(
-    unit: units.Unit, rooms: abc.Sequence[room_module.Room], rack_before: str
-) -> Kept | None:
-    """Returns what a gang keeps, or None if its pool cannot hold it.
+def find_reservation(
+    unit: units.Unit,
+    candidates: abc.Sequence[rooms.Candidate],
+    previous_rack: str,
+) -> Reservation | None:
+    """Returns a reservation for a gang, or None if its pool cannot hold it.
 
-    It keeps one rack if any could hold it, and rooms all over the pool only if
-    none could. A gang that cannot run anyhow keeps nothing: others may run.
+    The reservation is in one rack if any rack could hold the gang once empty,
+    else all over the pool. There is none for a gang that cannot run even in an
+    empty pool, so that other units can use the capacity.
 
     Args:
         unit: The gang.
-        rooms: The workers that may run it.
-        rack_before: The rack that it has kept until now, or "". That has
-            emptied since and stays chosen as long as it could hold the gang.
+        candidates: The workers that may run it.
+        previous_rack: The rack that was reserved for it in the previous plan,
+            or "". That rack has been emptying since, so it stays reserved while
+            it could hold the gang.
     """
-    racks = packing.racks_that_hold(unit, rooms)
+    racks = packing.feasible_racks(unit, candidates)
     if not racks:
-        return _kept(unit, "", rooms)
-    rack = rack_before
+        return _reservation(unit, "", candidates)
+    rack = previous_rack
     if rack not in racks:
-        rack = max(racks, key=lambda name: _slots_soon(unit, racks[name]))
-    return _kept(unit, rack, racks[rack])
+        rack = max(racks, key=lambda name: _soon_free_slots(unit, racks[name]))
+    return _reservation(unit, rack, racks[rack])
 
 
-def whole_at_ms(
+def expected_start_ms(
     unit: units.Unit,
-    kept: Kept,
+    reservation: Reservation,
     ledger: ledgers.BatchLedger,
     now_ms: int,
     step_ms: units.StepMs,
 ) -> float:
-    """Returns when all that a gang keeps will probably be free, ms since 1970.
+    """Returns when a gang's whole reservation is expected to be free.
 
     Args:
         unit: The gang.
-        kept: What it is about to keep.
-        ledger: What runs there.
+        reservation: Its reservation.
+        ledger: The runs on the reserved workers.
         now_ms: Wall time, ms since 1970.
-        step_ms: Returns how long a task of a step takes, in ms.
+        step_ms: Returns the expected run time of a step's tasks, in ms.
+
+    Returns:
+        Wall time, ms since 1970; 0 if all of it is free.
     """
     ends = [
         _expected_end_ms(run, ledger, now_ms, step_ms)
-        for room, count in kept.slots
-        if unit.step.needs.times_in(room.free) < count
-        for run in ledger.runs_on(room.worker.worker_id).values()
+        for candidate, count in reservation.slots
+        if unit.step.needs.times_in(candidate.free) < count
+        for run in ledger.runs_on(candidate.worker.worker_id).values()
     ]
     return max(ends, default=0.0)
 
@@ -81,10 +88,10 @@
     now_ms: int,
     step_ms: units.StepMs,
 ) -> float:
-    """Returns when a run will probably end.
+    """Returns when a run is expected to end, ms since 1970.
 
-    One that takes longer than expected will go on for half as long as it has
-    run: times differ by factors.
+    An overdue run is expected to take another half of its run time until now,
+    since estimates are off by a factor rather than by a fixed time.
     """
     task = run.run.task
     job = ledger.jobs[task.job_id].job
@@ -93,29 +100,34 @@
     return max(expected_ms, now_ms + ran_ms / 2)
 
 
-def _slots_soon(unit: units.Unit, rooms: abc.Iterable[room_module.Room]) -> int:
-    """Returns for how many tasks there will be room soon."""
-    return sum(unit.step.needs.times_in(room.soon_free) for room in rooms)
+def _soon_free_slots(
+    unit: units.Unit, candidates: abc.Iterable[rooms.Candidate]
+) -> int:
+    """Returns how many of a unit's tasks fit into the soon free capacity."""
+    return sum(
+        unit.step.needs.times_in(candidate.soon_free)
+        for candidate in candidates
+    )
 
 
-def _kept(
-    unit: units.Unit, rack: str, rooms: abc.Iterable[room_module.Room]
-) -> Kept | None:
-    """Returns the emptiest of some rooms that could hold a gang."""
+def _reservation(
+    unit: units.Unit, rack: str, candidates: abc.Iterable[rooms.Candidate]
+) -> Reservation | None:
+    """Returns a reservation of the emptiest workers, or None if too few."""
     slots = []
     left = len(unit.tasks)
-    for room in sorted(rooms, key=_emptiest_first):
-        count = min(left, packing.slots_at_best(unit, room))
+    for candidate in sorted(candidates, key=_emptiest_first):
+        count = min(left, packing.max_slots(unit, candidate))
         if count:
-            slots.append((room, count))
+            slots.append((candidate, count))
             left -= count
-    return Kept(rack, slots) if not left else None
+    return Reservation(rack, slots) if not left else None
 
 
-def _emptiest_first(room: room_module.Room) -> tuple[int, str]:
-    """Orders rooms by what of them will be free soon, the most first.
+def _emptiest_first(candidate: rooms.Candidate) -> tuple[int, str]:
+    """Returns a sort key that puts the most soon free capacity first.
 
-    What is kept for a gang gets no new runs and empties further, so the same
-    rooms are chosen at the next plan, or ones that are emptier still.
+    Reserved workers get no new runs and become emptier, so the next plan
+    chooses the same workers or emptier ones.
     """
-    return (-room.soon_free.accelerators, room.worker.worker_id)
+    return (-candidate.soon_free.accelerators, candidate.worker.worker_id)
--- a/laburnumsill/batch/outlook.py
+++ b/laburnumsill/batch/outlook.py
@@ -1,6 +1,6 @@
-"""What a plan is told beside the ledger: of workers, times and headroom.
+"""Estimates for the planner: run times, worker health and speed, headroom.
 
-It leaves out what the policy does without.
+Mechanisms that the policy turns off are left out.
 """
 
 from collections import abc
@@ -16,17 +16,17 @@
 
 
 class Outlook:
-    """Puts together what was learnt and what was observed.
+    """Estimates from the ledger's history and the leader's observations.
 
     Args:
-        policy: Which mechanisms are in use.
-        ledger: The ledger that plans are made of.
-        learnt: What was learnt from the commands of the ledger.
-        health: What the leader has observed of workers.
+        policy: The mechanisms in use.
+        ledger: The ledger on which plans are based.
+        learnt: Run times and speeds learnt from the ledger's commands.
+        health: The leader's observations of workers.
         clock: The clock of this process.
 
     Attributes:
-        step_ms: Returns how long a task of a step takes, in ms.
+        step_ms: Returns the expected run time of a step's tasks, in ms.
     """
 
     def __init__(
@@ -48,31 +48,35 @@
         self._headroom = headroom.Headroom()
 
     def headroom(self) -> int:
-        """Returns how many accelerators are to be left to urgent jobs."""
+        """Returns how many accelerators to leave free for urgent jobs."""
         if not self._policy.headroom:
             return 0
-        used = headroom.urgent_use(self._ledger).total()
-        return self._headroom.to_keep(used, self._clock.monotonic())
+        demand = headroom.urgent_demand(self._ledger).total()
+        return self._headroom.update(demand, self._clock.monotonic())
 
     def avoid(self, task: model.TaskId) -> abc.Set[str]:
-        """Returns the workers on which a task is not to be run again."""
+        """Returns the workers on which a task should not run again."""
         if not self._policy.avoiding:
             return frozenset()
         return self._health.avoid(task)
 
     def set_aside(self, worker_id: str, now: float) -> bool:
-        """Returns whether a worker is to get nothing now."""
+        """Returns whether a worker is in quarantine and gets no new runs."""
         if not self._policy.setting_aside:
             return False
         return self._health.set_aside(worker_id, now)
 
     def slowness(self, worker_id: str) -> float:
-        """Returns the run time on a worker relative to others."""
+        """Returns the run time on a worker relative to other workers.
+
+        Uses the recent run times if they show a very slow worker, otherwise
+        the long-term ones.
+        """
         now = self._clock.monotonic()
-        lately = self._health.slowness_lately(worker_id, now)
-        if lately >= worker_health.VERY_SLOW and self._policy.very_slow_last:
-            return lately
+        recent = self._health.slowness_lately(worker_id, now)
+        if recent >= worker_health.VERY_SLOW and self._policy.very_slow_last:
+            return recent
         if not self._policy.learnt_speeds:
             return 1.0
-        usual = self._learnt.speeds.slowness(worker_id)
-        return min(usual, worker_health.NOT_VERY_SLOW)
+        long_term = self._learnt.speeds.slowness(worker_id)
+        return min(long_term, worker_health.NOT_VERY_SLOW)
--- a/laburnumsill/batch/packing.py
+++ b/laburnumsill/batch/packing.py
@@ -1,82 +1,90 @@
-"""Fitting one unit into what is free."""
+"""Bin packing: the assignment of one unit's tasks to workers."""
 
 from collections import abc
 
 from laburnumsill.batch import model
-from laburnumsill.batch import rooms as room_module
+from laburnumsill.batch import rooms
 from laburnumsill.batch import units
 from laburnumsill.batch import worker_speeds
 
 URGENT_PRIORITY = 0
-"""Jobs of this priority may stop others and own what is guaranteed."""
+"""Priority of the jobs that may preempt others and have guaranteed capacity."""
+
+Assignment = list[tuple[model.TaskId, rooms.Candidate]]
+"""Tasks, each with the worker that is to run it."""
+
+Available = abc.Callable[[rooms.Candidate], model.Resources]
+"""Returns the capacity of a worker that a unit may use."""
 
-Assignment = list[tuple[model.TaskId, room_module.Room]]
-RoomOf = abc.Callable[[room_module.Room], model.Resources]
 CountOn = abc.Callable[[str, model.TaskId], int]
+"""Returns how many live runs of a task's step a worker has."""
 
 
-def free_now(room: room_module.Room) -> model.Resources:
-    """Returns what is free now."""
-    return room.free
+def free_now(candidate: rooms.Candidate) -> model.Resources:
+    """Returns the free capacity of a worker."""
+    return candidate.free
 
 
-def free_soon(room: room_module.Room) -> model.Resources:
-    """Returns what will be free when all that is being stopped has ended."""
-    return room.soon_free
+def free_soon(candidate: rooms.Candidate) -> model.Resources:
+    """Returns the free capacity once runs that are being stopped have ended."""
+    return candidate.soon_free
 
 
-def free_or_kept(room: room_module.Room) -> model.Resources:
-    """Returns what is free now, also what is kept for a gang that waits."""
-    return room.free_or_kept
+def free_or_reserved(candidate: rooms.Candidate) -> model.Resources:
+    """Returns the free capacity, including what is reserved for a gang."""
+    return candidate.free_or_reserved
 
 
 def eligible(
-    unit: units.Unit, rooms: abc.Iterable[room_module.Room]
-) -> list[room_module.Room]:
-    """Returns the rooms whose workers may run a unit's tasks at all."""
+    unit: units.Unit, candidates: abc.Iterable[rooms.Candidate]
+) -> list[rooms.Candidate]:
+    """Returns the candidates of a unit's pool that have its required label."""
     step = unit.step
     pool = unit.record.job.terms.pool
     return [
-        room
-        for room in rooms
-        if room.worker.pool == pool
+        candidate
+        for candidate in candidates
+        if candidate.worker.pool == pool
         and (
-            not step.required_label or step.required_label in room.worker.labels
+            not step.required_label
+            or step.required_label in candidate.worker.labels
         )
     ]
 
 
 def fit(
     unit: units.Unit,
-    rooms: abc.Sequence[room_module.Room],
-    room_of: RoomOf,
+    candidates: abc.Sequence[rooms.Candidate],
+    available: Available,
     count_on: CountOn,
     may_spread: bool = False,
 ) -> Assignment:
-    """Returns where a unit's tasks fit: all of a gang, else those that do.
+    """Returns an assignment of as many of a unit's tasks as fit.
 
-    A gang goes to one rack if it fits into one: the fullest that holds it,
-    so that empty racks stay whole for larger gangs. Within a rack the
-    workers with the least room go first.
+    A gang goes to one rack if it fits into one: the fullest one that holds
+    it, so that empty racks are left for larger gangs. Within a rack, the
+    workers with the least available capacity are filled first.
 
     Args:
         unit: The tasks.
-        rooms: The workers that may run them.
-        room_of: What of a worker may be used.
-        count_on: How many tasks of a task's step a worker has already.
-        may_spread: Whether a gang that is much slower on several racks may
-            go to several all the same.
+        candidates: The workers that may run them.
+        available: Returns the capacity of a worker that the unit may use.
+        count_on: Returns how many runs of a task's step a worker has.
+        may_spread: Whether a gang may span racks although some rack could
+            hold it once empty, and it is much slower on several racks.
 
     Returns:
-        Tasks and their workers; empty if nothing, or not all of a gang, fits.
+        The assignment; empty if no task fits, or not all tasks of a gang.
     """
-    slots = _slots(unit, rooms, room_of, count_on)
+    slots = _slots(unit, candidates, available, count_on)
     wanted = len(unit.tasks)
     if not unit.step.gang:
-        return _assign(unit, _in_order(unit, rooms, room_of), slots)
-    chosen = _best_rack(unit, rooms, slots, room_of)
-    if chosen is None and (may_spread or not _needs_one_rack(unit, rooms)):
-        chosen = _widest_racks_first(unit, rooms, slots, room_of)
+        return _assign(
+            unit, _order_for_tasks(unit, candidates, available), slots
+        )
+    chosen = _best_rack(unit, candidates, slots, available)
+    if chosen is None and (may_spread or not _needs_one_rack(unit, candidates)):
+        chosen = _largest_racks_first(unit, candidates, slots, available)
     if chosen is None:
         return []
     found = _assign(unit, chosen, slots)
@@ -85,35 +93,38 @@
 
 def _slots(
     unit: units.Unit,
-    rooms: abc.Sequence[room_module.Room],
-    room_of: RoomOf,
+    candidates: abc.Sequence[rooms.Candidate],
+    available: Available,
     count_on: CountOn,
 ) -> dict[str, int]:
     """Returns how many of a unit's tasks fit on each worker."""
     step = unit.step
     slots = {}
-    for room in rooms:
-        count = step.needs.times_in(room_of(room))
+    for candidate in candidates:
+        count = step.needs.times_in(available(candidate))
         if step.max_per_worker:
-            known = count_on(room.worker.worker_id, unit.tasks[0])
+            known = count_on(candidate.worker.worker_id, unit.tasks[0])
             count = min(count, max(0, step.max_per_worker - known))
-        slots[room.worker.worker_id] = count
+        slots[candidate.worker.worker_id] = count
     return slots
 
 
 def _best_rack(
     unit: units.Unit,
-    rooms: abc.Sequence[room_module.Room],
+    candidates: abc.Sequence[rooms.Candidate],
     slots: dict[str, int],
-    room_of: RoomOf,
-) -> list[room_module.Room] | None:
-    """Returns the rooms of the rack that holds a unit with the least left."""
+    available: Available,
+) -> list[rooms.Candidate] | None:
+    """Returns the candidates of the fullest rack that holds a unit, or None.
+
+    Racks near the data and racks with enough fast workers are preferred.
+    """
     best: tuple[bool, bool, float] | None = None
     chosen = None
-    for rack, inside in room_module.by_rack(rooms).items():
+    for rack, inside in rooms.by_rack(candidates).items():
         if sum(slots[r.worker.worker_id] for r in inside) < len(unit.tasks):
             continue
-        left = sum(room_of(room).accelerators for room in inside)
+        left = sum(available(candidate).accelerators for candidate in inside)
         away = bool(unit.step.data_rack) and rack != unit.step.data_rack
         slow = unit.priority == URGENT_PRIORITY and not _fits_fast(
             unit, inside, slots
@@ -121,138 +132,149 @@
         if best is None or (away, slow, left) < best:
             best = (away, slow, left)
             chosen = inside
-    return _fullest_first(unit, chosen, room_of) if chosen else None
+    return _fullest_first(unit, chosen, available) if chosen else None
 
 
 def _fits_fast(
     unit: units.Unit,
-    rooms: abc.Sequence[room_module.Room],
+    candidates: abc.Sequence[rooms.Candidate],
     slots: dict[str, int],
 ) -> bool:
-    """Whether a unit fits on those workers that are not slow."""
+    """Returns whether a unit fits on the workers that are not slow."""
     fast = sum(
-        slots[room.worker.worker_id] for room in rooms if not is_slow(room)
+        slots[candidate.worker.worker_id]
+        for candidate in candidates
+        if not is_slow(candidate)
     )
     return fast >= len(unit.tasks)
 
 
-def is_slow(room: room_module.Room) -> bool:
-    """Whether runs take noticeably longer on a worker than on others."""
-    return room.slowness >= worker_speeds.NOTICEABLY_SLOW
+def is_slow(candidate: rooms.Candidate) -> bool:
+    """Returns whether a worker is noticeably slower than others."""
+    return candidate.slowness >= worker_speeds.NOTICEABLY_SLOW
 
 
 def _needs_one_rack(
-    unit: units.Unit, rooms: abc.Sequence[room_module.Room]
+    unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
 ) -> bool:
-    """Whether a gang should wait for one rack: some rack could hold it."""
-    return unit.step.same_rack and bool(racks_that_hold(unit, rooms))
+    """Returns whether a gang should wait for a rack that could hold it."""
+    return unit.step.same_rack and bool(feasible_racks(unit, candidates))
 
 
-def racks_that_hold(
-    unit: units.Unit, rooms: abc.Sequence[room_module.Room]
-) -> dict[str, list[room_module.Room]]:
-    """Returns the racks that could hold a unit once they are empty."""
+def feasible_racks(
+    unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
+) -> dict[str, list[rooms.Candidate]]:
+    """Returns the racks that could hold a unit once they are empty, by name."""
     return {
         rack: inside
-        for rack, inside in room_module.by_rack(rooms).items()
-        if sum(slots_at_best(unit, room) for room in inside) >= len(unit.tasks)
+        for rack, inside in rooms.by_rack(candidates).items()
+        if sum(max_slots(unit, candidate) for candidate in inside)
+        >= len(unit.tasks)
     }
 
 
-def slots_at_best(unit: units.Unit, room: room_module.Room) -> int:
+def max_slots(unit: units.Unit, candidate: rooms.Candidate) -> int:
     """Returns how many of a unit's tasks a worker can run once it is empty.
 
-    Runs that last do not end by themselves; an urgent unit may stop them.
+    Long-running tasks do not end by themselves, so their resources count as
+    free only for an urgent unit, which may preempt them.
     """
     urgent = unit.priority == URGENT_PRIORITY
-    best = room.worker.capacity if urgent else room.free_at_best
-    count = unit.step.needs.times_in(best)
-    most = unit.step.max_per_worker
-    return min(count, most) if most else count
+    emptied = candidate.worker.capacity if urgent else candidate.max_free
+    count = unit.step.needs.times_in(emptied)
+    limit = unit.step.max_per_worker
+    return min(count, limit) if limit else count
 
 
-def _widest_racks_first(
+def _largest_racks_first(
     unit: units.Unit,
-    rooms: abc.Sequence[room_module.Room],
+    candidates: abc.Sequence[rooms.Candidate],
     slots: dict[str, int],
-    room_of: RoomOf,
-) -> list[room_module.Room]:
-    """Returns all rooms, so that a gang touches few racks."""
-    racks = room_module.by_rack(rooms)
+    available: Available,
+) -> list[rooms.Candidate]:
+    """Returns all candidates, racks with most slots first.
+
+    Filled in this order, a gang spans few racks.
+    """
+    racks = rooms.by_rack(candidates)
     order = sorted(
         racks,
         key=lambda rack: -sum(slots[r.worker.worker_id] for r in racks[rack]),
     )
-    found: list[room_module.Room] = []
+    found: list[rooms.Candidate] = []
     for rack in order:
-        found += _fullest_first(unit, racks[rack], room_of)
+        found += _fullest_first(unit, racks[rack], available)
     return found
 
 
-def _in_order(
+def _order_for_tasks(
     unit: units.Unit,
-    rooms: abc.Sequence[room_module.Room],
-    room_of: RoomOf,
-) -> list[room_module.Room]:
-    """Returns rooms for single tasks: near their data, then the fullest."""
+    candidates: abc.Sequence[rooms.Candidate],
+    available: Available,
+) -> list[rooms.Candidate]:
+    """Returns candidates for single tasks: near their data, fullest first."""
     rack = unit.step.data_rack
-    near = [room for room in rooms if room.worker.rack == rack]
+    near = [
+        candidate for candidate in candidates if candidate.worker.rack == rack
+    ]
     if rack and near:
-        return _fullest_first(unit, near, room_of)
-    return _fullest_first(unit, rooms, room_of)
+        return _fullest_first(unit, near, available)
+    return _fullest_first(unit, candidates, available)
 
 
 def _fullest_first(
     unit: units.Unit,
-    rooms: abc.Iterable[room_module.Room],
-    room_of: RoomOf,
-) -> list[room_module.Room]:
-    """Returns rooms in the order in which a unit should fill them.
-
-    Urgent units go to the fast workers first. Then the fullest goes first, so
-    that whole workers are left for gangs. Filling the fullest rack first was
-    tried and reverted, see docs/design/site-planner.md.
+    candidates: abc.Iterable[rooms.Candidate],
+    available: Available,
+) -> list[rooms.Candidate]:
+    """Returns candidates in the order in which a unit should fill them.
+
+    For urgent units, fast workers come first. Then the fullest come first, so
+    that whole workers are left for gangs. Racks are not sorted by how full they
+    are, see docs/design/site-planner.md.
     """
     urgent = unit.priority == URGENT_PRIORITY
 
-    def key(room: room_module.Room) -> tuple[bool, int, int, str]:
-        free = room_of(room)
+    def key(candidate: rooms.Candidate) -> tuple[bool, int, int, str]:
+        free = available(candidate)
         return (
-            urgent and is_slow(room),
+            urgent and is_slow(candidate),
             free.accelerators,
             free.cpu_millis,
-            room.worker.worker_id,
+            candidate.worker.worker_id,
         )
 
-    return sorted(rooms, key=key)
+    return sorted(candidates, key=key)
 
 
 def _assign(
     unit: units.Unit,
-    rooms: abc.Iterable[room_module.Room],
+    candidates: abc.Iterable[rooms.Candidate],
     slots: dict[str, int],
 ) -> Assignment:
     found: Assignment = []
     waiting = iter(unit.tasks)
     left = len(unit.tasks)
-    for room in rooms:
-        take = min(slots[room.worker.worker_id], left)
-        left -= take
-        found += [(next(waiting), room) for _ in range(take)]
+    for candidate in candidates:
+        count = min(slots[candidate.worker.worker_id], left)
+        left -= count
+        found += [(next(waiting), candidate) for _ in range(count)]
     return found
 
 
-def mostly_free(rooms: abc.Iterable[room_module.Room], room_of: RoomOf) -> bool:
-    """Returns whether less than half of what workers have is in use.
+def mostly_free(
+    candidates: abc.Iterable[rooms.Candidate], available: Available
+) -> bool:
+    """Returns whether less than half of each resource of workers is in use.
 
     Args:
-        rooms: The workers.
-        room_of: What of a worker counts as not in use.
+        candidates: The workers.
+        available: Returns the capacity of a worker that is not in use.
     """
     capacity = free = model.Resources()
-    for room in rooms:
-        capacity += room.worker.capacity
-        free += room_of(room)
+    for candidate in candidates:
+        capacity += candidate.worker.capacity
+        free += available(candidate)
     used = capacity - free
     return (
         2 * used.accelerators < max(1, capacity.accelerators)
--- a/laburnumsill/batch/plan_log.py
+++ b/laburnumsill/batch/plan_log.py
@@ -1,7 +1,7 @@
-"""The lines that a leader writes about its plans.
+"""Log lines about the leader's plans.
 
-A person must be able to see where each run was placed, and why a step waits,
-from the logs alone; `laburnumsill.explain` reads these lines back.
+The logs alone must show where each run was placed and why a step waits;
+`laburnumsill.explain` parses these lines.
 """
 
 from laburnumsill.batch import commands
@@ -13,15 +13,15 @@
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import logs
 
-WAITING_EVERY_S = 5.0
-"""A unit that waits is written again so often, with what stands in its way."""
+WAITING_LOG_INTERVAL_S = 5.0
+"""Interval between log lines about the same waiting unit, in seconds."""
 
 
 class PlanLog:
-    """Writes plans, and remembers which units were written as waiting.
+    """Logs placements and waiting units.
 
     Args:
-        ledger: What the plans are of.
+        ledger: The ledger on which the plans are based.
         clock: The clock of this process.
     """
 
@@ -30,19 +30,19 @@
     ) -> None:
         self._ledger = ledger
         self._clock = clock
-        self._write_at: dict[model.StepKey, float] = {}
+        self._next_line_at: dict[model.StepKey, float] = {}
 
     @property
     def units_waiting(self) -> int:
-        """How many units waited in the last plan."""
-        return len(self._write_at)
+        """Number of units that waited in the last plan."""
+        return len(self._next_line_at)
 
     def is_due(self, key: model.StepKey) -> bool:
-        """Returns whether what stands in a unit's way is to be written."""
-        return self._write_at.get(key, 0.0) <= self._clock.monotonic()
+        """Returns whether the next line about a waiting unit is due."""
+        return self._next_line_at.get(key, 0.0) <= self._clock.monotonic()
 
     def placement(self, placement: commands.Placement, refusal: str) -> None:
-        """Writes one placement and why the ledger refused it, if it did."""
+        """Logs a placement, with the ledger's refusal or ""."""
         record = self._ledger.jobs.get(placement.run.task.job_id)
         waited_ms = 0
         if record is not None:
@@ -58,28 +58,30 @@
             refusal=refusal,
         )
 
-    def waiting(self, made: planner.Plan, usable: int) -> None:
-        """Writes a line when a unit begins to wait, and now and then.
+    def waiting(self, plan: planner.Plan, usable: int) -> None:
+        """Logs units when they begin to wait, and then at intervals.
 
         Args:
-            made: The plan.
-            usable: How many workers could be given runs.
+            plan: The plan.
+            usable: Number of workers on which runs could be placed.
         """
         now = self._clock.monotonic()
-        write_at = {}
-        for unit in made.waiting:
-            write_at[unit.key] = self._write_at.get(unit.key, now)
-            if unit.key in made.obstacles:
-                self._write(unit, made.obstacles[unit.key], usable)
-                write_at[unit.key] = now + WAITING_EVERY_S
-        self._write_at = write_at
+        next_line_at = {}
+        for unit in plan.waiting:
+            next_line_at[unit.key] = self._next_line_at.get(unit.key, now)
+            if unit.key in plan.obstacles:
+                self._log_waiting(unit, plan.obstacles[unit.key], usable)
+                next_line_at[unit.key] = now + WAITING_LOG_INTERVAL_S
+        self._next_line_at = next_line_at
 
-    def _write(self, unit: units.Unit, obstacle: str, usable: int) -> None:
+    def _log_waiting(
+        self, unit: units.Unit, obstacle: str, usable: int
+    ) -> None:
         logs.decision(
             "unit-waits",
             job=unit.record.job.job_id,
             occurrence=unit.occurrence,
-            step=unit.number,
+            step=unit.step_index,
             tasks=len(unit.tasks),
             accelerators=unit.step.needs.accelerators,
             gang=unit.step.gang,
@@ -94,5 +96,5 @@
 
 
 def _is_gang(record: records.JobRecord | None, run: model.RunId) -> bool:
-    """Whether a run works only together with the others of its step."""
+    """Returns whether a run belongs to a gang."""
     return record is not None and record.job.steps[run.task.step].gang
--- a/laburnumsill/batch/planner.py
+++ b/laburnumsill/batch/planner.py
@@ -1,10 +1,11 @@
-"""What is to be placed and stopped next: a pure function of a view.
-
-Units are taken in order of priority and objective. One that fits is placed;
-an urgent one that does not fit keeps what is about to be free, and stops the
-cheapest runs of lower priority if that is not enough; a gang that has waited
-long keeps room for itself (`keeping`), so that small tasks do not starve it,
-also an urgent one that nothing can be stopped for.
+"""Planner: decides which runs to place and to stop, as a pure function.
+
+Units are planned in order of priority and objective. A unit that fits is
+placed. An urgent unit that does not fit is allocated capacity that is about to
+be freed; if that is not enough, it preempts the cheapest runs of lower
+priority. A gang that has waited long gets a reservation (`keeping`), so that
+small tasks do not starve it; so does an urgent gang for which no preemption is
+possible.
 """
 
 import dataclasses
@@ -21,57 +22,59 @@
 from laburnumsill.batch import packing
 from laburnumsill.batch import policy as policies
 from laburnumsill.batch import preemption
-from laburnumsill.batch import rooms as room_module
+from laburnumsill.batch import rooms
 from laburnumsill.batch import units
 from laburnumsill.batch import worker_health
 
-FENCE_AFTER_MS = 3_000
-"""A gang that has waited so long keeps room that becomes free, in ms: about
-half a run of the users' background tasks."""
+RESERVE_AFTER_MS = 3_000
+"""Waiting time after which a gang gets a reservation, in ms: about half the run
+time of the users' background tasks."""
 
 ANY_WORKER_AFTER_MS = 6_000
-"""A unit that has waited so long, in ms, goes to any worker, also to a very
-slow one or one on which it failed: a whole run of the users' tasks."""
+"""Waiting time after which a unit may go to any worker of its pool, also to a
+very slow one or one on which it failed, in ms: about the run time of the users'
+background tasks."""
 
 SPREAD_AFTER_MS = 1_500
-"""A gang that has waited so long, in ms, while most of its pool is free,
-goes to several racks: nothing else would make use of the room."""
+"""Waiting time after which a gang may span racks if most of its pool is free,
+in ms: the free capacity would otherwise stay unused."""
 
 APART_FOR_MS = 1_500
-"""A task that may crash its worker waits so long, in ms, for one that runs
-nothing else; then it goes to the one that runs the least."""
+"""How long a task that is suspected of crashing its worker waits for an idle
+worker, in ms; after that it goes to the worker with the fewest runs."""
 
-HEADROOM_UNTIL_MS = 1_000
-"""Tasks leave headroom while their job could begin so much later and still be
-in time, in ms."""
+MIN_SLACK_MS = 1_000
+"""Slack from which single tasks leave headroom, in ms: the time by which their
+job can be delayed and still meet its objective."""
 
-SAFELY_SHORT = 3
-"""A task may use room that is kept for a gang if it would leave it in time also
-when it took so many times as long as expected: declared times of the users are
-off by 0.5 to 0.9 (sigma of the logarithm), and 3 is e to the 1.1."""
+BACKFILL_TIME_FACTOR = 3
+"""Factor on the expected run time of a task that backfills a reservation: it
+must end before the gang starts even if it takes this many times as long. The
+error of the users' declared times is log-normal with a sigma of 0.5 to 0.9;
+3 is e to the 1.1."""
 
-MAX_FENCED = 1
-"""So many waiting gangs keep room at a time; more would idle the site."""
+MAX_RESERVATIONS = 1
+"""Reservations at a time; more would leave too much of the site idle."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class View:
-    """What a plan is made of.
+    """Input of the planner.
 
     Attributes:
-        ledger: The replicated record.
-        usable: The workers that may be given runs.
-        stopping: Runs that were told to stop and have not ended.
+        ledger: The replicated state of jobs, runs and workers.
+        usable: Ids of the workers on which runs may be placed.
+        stopping: Runs that were ordered to stop and have not ended yet.
         guarantees: Guaranteed accelerators by client account.
         now_ms: Wall time, ms since 1970.
-        avoid: Workers on which a task is not to be run again.
-        slowness: Run time on a worker relative to others.
-        kept_racks: The racks that were kept for gangs at the last plan.
-        explain: Whether it is to be said what stands in a unit's way.
-        stop_grace_ms: What is stopped ends within so long.
-        headroom: Accelerators that what can wait leaves to urgent jobs.
-        step_ms: Returns how long a task of a step takes, in ms.
-        policy: Which mechanisms are in use.
+        avoid: Returns the workers on which a task should not run again.
+        slowness: Returns the run time on a worker relative to other workers.
+        kept_racks: Reserved racks of the previous plan, by gang.
+        explain: Returns whether the plan should explain why a unit waits.
+        stop_grace_ms: Time within which a run ends after a stop order, in ms.
+        headroom: Accelerators that units with slack leave free for urgent jobs.
+        step_ms: Returns the expected run time of a step's tasks, in ms.
+        policy: The mechanisms in use.
     """
 
     ledger: ledgers.BatchLedger
@@ -93,15 +96,15 @@
 
 @dataclasses.dataclass(slots=True)
 class Plan:
-    """What to do next.
+    """Output of the planner.
 
     Attributes:
-        groups: Runs to place, each group whole.
-        stops: Runs to stop, to make room.
-        waiting: Units that could not be placed.
-        kept_racks: The racks that are kept for gangs, for the next plan.
-        obstacles: What stands in the way of waiting units, for people.
-        stopped_for: The jobs that need the room of what is stopped, for people.
+        groups: Runs to place; a group is placed as a whole or not at all.
+        stops: Runs to preempt.
+        waiting: Units of which tasks could not be placed.
+        kept_racks: Reserved racks by gang, an input of the next plan.
+        obstacles: Why units wait, for the log.
+        stopped_for: The preempting job of each run in `stops`, for the log.
     """
 
     groups: list[commands.Group]
@@ -119,10 +122,10 @@
 
 
 def plan(view: View) -> Plan:
-    """Returns what to place and to stop.
+    """Returns the runs to place and to stop.
 
-    Most events of a calm site come while nothing waits, and then no worker is
-    looked at.
+    Does not look at the workers if no unit waits, which is the case at most
+    events of a site with little load.
     """
     waiting = units.ready_units(view.ledger, view.now_ms, view.step_ms)
     if not waiting:
@@ -136,120 +139,123 @@
         self._ledger = view.ledger
         self._policy = view.policy
         self._plan = Plan([], [], [])
-        self._rooms = room_module.rooms_of(
+        self._candidates = rooms.find_candidates(
             view.ledger, view.usable, view.stopping, view.slowness
         )
-        self._urgent_use = headroom.urgent_use(view.ledger)
+        self._urgent_demand = headroom.urgent_demand(view.ledger)
         self._victims: preemption.Victims | None = None
-        self._fenced = 0
-        self._kept_until_ms = 0.0
-        self._most_slots: dict[tuple[object, ...], int] = {}
-        self._suitable: dict[tuple[str, str], _Suitable] = {}
+        self._reservations = 0
+        self._reservation_start_ms = 0.0
+        self._max_slots: dict[tuple[object, ...], int] = {}
+        self._pool_candidates: dict[tuple[str, str], _PoolCandidates] = {}
 
     def run(self, waiting: abc.Iterable[units.Unit]) -> Plan:
-        for unit in sorted(waiting, key=self._order):
-            self._place(unit)
+        for unit in sorted(waiting, key=self._sort_key):
+            self._plan_unit(unit)
         return self._plan
 
-    def _order(self, unit: units.Unit) -> tuple[object, ...]:
+    def _sort_key(self, unit: units.Unit) -> tuple[object, ...]:
         return (
             unit.priority,
-            not self._guaranteed(unit),
-            self._policy.in_time_first and not self._in_time(unit),
+            not self._is_within_guarantee(unit),
+            self._policy.in_time_first and not self._can_meet_objective(unit),
             unit.objective_ms,
             unit.key,
         )
 
-    def _in_time(self, unit: units.Unit) -> bool:
-        """Whether a unit's job can still be in time if it starts now."""
-        return self._view.now_ms + unit.chain_ms <= unit.objective_ms
+    def _can_meet_objective(self, unit: units.Unit) -> bool:
+        """Returns whether a unit that starts now can meet its objective."""
+        return self._view.now_ms + unit.critical_path_ms <= unit.objective_ms
 
-    def _guaranteed(self, unit: units.Unit) -> bool:
+    def _is_within_guarantee(self, unit: units.Unit) -> bool:
         if unit.priority != packing.URGENT_PRIORITY:
             return False
         account = unit.record.job.account
-        own = self._view.guarantees.get(account, 0)
-        return self._urgent_use[account] <= own
-
-    def _place(self, unit: units.Unit) -> None:
-        rooms = self._eligible(unit)
-        found = [] if self._has_no_room(unit) else self._fit(unit, rooms)
-        may_use_kept = self._may_use_kept_room() and self._may_share(unit)
-        if len(found) < len(unit.tasks) and may_use_kept:
-            found = self._fit_into_kept(unit, rooms, found)
+        guarantee = self._view.guarantees.get(account, 0)
+        return self._urgent_demand[account] <= guarantee
+
+    def _plan_unit(self, unit: units.Unit) -> None:
+        candidates = self._eligible(unit)
+        found = [] if self._cannot_fit(unit) else self._fit(unit, candidates)
+        may_backfill = self._may_backfill() and self._may_share(unit)
+        if len(found) < len(unit.tasks) and may_backfill:
+            found = self._backfill(unit, candidates, found)
         found = self._within_headroom(unit, found)
-        self._take(unit, found)
+        self._place_tasks(unit, found)
         placed = {task for task, _ in found}
         unit.tasks = [task for task in unit.tasks if task not in placed]
         if not unit.tasks:
             return
         if self._view.explain(unit.key):
-            self._plan.obstacles[unit.key] = self._obstacle(unit, rooms)
+            self._plan.obstacles[unit.key] = self._obstacle(unit, candidates)
         self._plan.waiting.append(unit)
         if not self._may_share(unit):
             return
         if unit.priority == packing.URGENT_PRIORITY:
-            self._make_room(unit, rooms)
+            self._preempt_for(unit, candidates)
         elif unit.step.gang:
-            self._keep_rooms(unit, rooms)
+            self._reserve_for(unit, candidates)
 
     def _fit(
-        self, unit: units.Unit, rooms: list[room_module.Room]
+        self, unit: units.Unit, candidates: list[rooms.Candidate]
     ) -> packing.Assignment:
-        """Returns where a unit fits, apart from suspects if that can be."""
+        """Returns an assignment that isolates suspects where possible."""
         if not self._ledger.crashes.suspects:
-            return self._fit_now(unit, rooms)
-        fit = functools.partial(self._fit_now, unit)
-        if unit.apart_since_ms is None:
-            return apart.fit_other(unit, rooms, fit)
-        return apart.fit_suspect(unit, rooms, fit, self._may_share(unit))
-
-    def _fit_now(
-        self, unit: units.Unit, rooms: abc.Sequence[room_module.Room]
+            return self._fit_in_free(unit, candidates)
+        fit = functools.partial(self._fit_in_free, unit)
+        if unit.isolated_since_ms is None:
+            return apart.fit_regular(unit, candidates, fit)
+        return apart.fit_suspect(unit, candidates, fit, self._may_share(unit))
+
+    def _fit_in_free(
+        self, unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
     ) -> packing.Assignment:
         return packing.fit(
             unit,
-            rooms,
+            candidates,
             packing.free_now,
             self._count_on,
-            self._may_spread(unit, rooms),
+            self._may_spread(unit, candidates),
         )
 
     def _may_share(self, unit: units.Unit) -> bool:
-        """Whether a unit may go where others run."""
-        since_ms = unit.apart_since_ms
+        """Returns whether a unit may share a worker with other runs."""
+        since_ms = unit.isolated_since_ms
         return since_ms is None or self._view.now_ms >= since_ms + APART_FOR_MS
 
-    def _fit_into_kept(
+    def _backfill(
         self,
         unit: units.Unit,
-        rooms: list[room_module.Room],
+        candidates: list[rooms.Candidate],
         found: packing.Assignment,
     ) -> packing.Assignment:
-        """Returns where a unit fits if it may use room kept for a gang.
+        """Returns an assignment that may use reserved capacity.
 
-        Tasks may that will be gone when the gang begins. Others may if their
-        job would stand still while most of the pool is free: one task is
-        enough for that, and delays the gang little, as it goes where the least
-        is free. Another gang may if it need not spread; it would hold the room
-        long.
+        Tasks that will end before the reserved gang starts may use it. So may
+        a step without runs although most of its pool is free. Of such a step
+        one task is placed, so that its job makes progress; this delays the
+        gang little, as the task goes to the worker with the least free
+        capacity. Another gang is placed as a whole, but does not spread over
+        racks for this: it would be slow and occupy the capacity for long.
 
         Args:
             unit: The tasks.
-            rooms: The workers that may run them.
-            found: Where they fit without.
+            candidates: The workers that may run them.
+            found: The assignment without reserved capacity.
         """
-        in_time = self._leaves_kept_room_in_time(unit)
-        if not in_time and (found or not self._stands_still(unit)):
+        ends_before = self._ends_before_reservation(unit)
+        if not ends_before and (found or not self._is_starved(unit)):
             return found
-        found = packing.fit(unit, rooms, packing.free_or_kept, self._count_on)
-        return found if in_time or unit.step.gang else found[:1]
+        found = packing.fit(
+            unit, candidates, packing.free_or_reserved, self._count_on
+        )
+        return found if ends_before or unit.step.gang else found[:1]
 
-    def _may_use_kept_room(self) -> bool:
-        return self._fenced > 0 and self._policy.tasks_in_kept_room
+    def _may_backfill(self) -> bool:
+        return self._reservations > 0 and self._policy.tasks_in_kept_room
 
-    def _stands_still(self, unit: units.Unit) -> bool:
-        """Whether nothing of a unit runs though most of its pool is free."""
+    def _is_starved(self, unit: units.Unit) -> bool:
+        """Returns whether a step has no runs in a mostly free pool."""
         waited = self._view.now_ms - unit.waiting_since_ms
         if waited < SPREAD_AFTER_MS or unit.key in self._ledger.runs_of_steps:
             return False
@@ -258,16 +264,17 @@
     def _within_headroom(
         self, unit: units.Unit, found: packing.Assignment
     ) -> packing.Assignment:
-        """Returns what of an assignment leaves headroom for urgent jobs.
+        """Returns the part of an assignment that leaves headroom.
 
-        A gang goes whole or not at all. Of other steps of which nothing runs
-        one task goes in any case, so that no job is idle while there is room.
+        A gang is placed as a whole or not at all. Of any other step without
+        runs, one task is placed in any case, so that no job is idle while
+        there is free capacity.
         """
         step = unit.step
         if not self._leaves_headroom(unit):
             return found
-        rooms = self._suitable_for(unit).all
-        free = sum(room.free.accelerators for room in rooms)
+        candidates = self._candidates_for(unit).all
+        free = sum(candidate.free.accelerators for candidate in candidates)
         most = max(0, free - self._view.headroom) // step.needs.accelerators
         if step.gang:
             return found if len(found) <= most else []
@@ -275,140 +282,155 @@
         return found[: max(least, most)]
 
     def _leaves_headroom(self, unit: units.Unit) -> bool:
-        """Whether a unit is one that can wait for urgent jobs to come.
+        """Returns whether a unit has enough slack to leave headroom.
 
-        The load that this is for: bursts of urgent jobs, one after the other.
-        A gang that begins between two of them is stopped by the second and
-        begins anew. It waits only while it could run twice and be in time:
-        gangs find room seldom enough.
+        Urgent jobs come in successive bursts: a gang that starts between two
+        of them is preempted by the second and starts over. A gang waits only
+        while it could run twice and still meet its objective, since it seldom
+        finds enough free capacity.
         """
         step = unit.step
         if unit.priority == packing.URGENT_PRIORITY or not self._view.headroom:
             return False
         if step.long_running or not step.needs.accelerators:
             return False
-        spare_ms = unit.objective_ms - self._view.now_ms - unit.chain_ms
-        least_ms = unit.chain_ms if step.gang else HEADROOM_UNTIL_MS
-        return spare_ms >= least_ms
+        slack_ms = unit.objective_ms - self._view.now_ms - unit.critical_path_ms
+        min_ms = unit.critical_path_ms if step.gang else MIN_SLACK_MS
+        return slack_ms >= min_ms
 
-    def _has_no_room(self, unit: units.Unit) -> bool:
-        """Whether an earlier unit like this has shown that it cannot fit.
+    def _cannot_fit(self, unit: units.Unit) -> bool:
+        """Returns whether the free capacity is certainly too small for a unit.
 
-        What is free only becomes less while a plan is made, so the slots
-        that were counted for the first unit bound those for the others.
+        Free capacity only shrinks while a plan is made, so the slots counted
+        for the first unit of a kind are an upper bound for later ones.
         """
         step = unit.step
         key = (unit.record.job.terms.pool, step.required_label, step.needs)
-        if key not in self._most_slots:
-            self._most_slots[key] = sum(
-                step.needs.times_in(room.free)
-                for room in self._suitable_for(unit).all
+        if key not in self._max_slots:
+            self._max_slots[key] = sum(
+                step.needs.times_in(candidate.free)
+                for candidate in self._candidates_for(unit).all
             )
         wanted = len(unit.tasks) if step.gang else 1
-        return self._most_slots[key] < wanted
+        return self._max_slots[key] < wanted
 
     def _may_spread(
-        self, unit: units.Unit, rooms: abc.Sequence[room_module.Room]
+        self, unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
     ) -> bool:
-        """Whether a gang should rather run slowly than wait for one rack."""
+        """Returns whether a gang should span racks rather than wait for one."""
         if not self._policy.spreading:
             return False
         waited = self._view.now_ms - unit.waiting_since_ms
         return waited >= SPREAD_AFTER_MS and packing.mostly_free(
-            rooms, packing.free_now
+            candidates, packing.free_now
         )
 
     def _is_mostly_free(self, unit: units.Unit) -> bool:
-        """Whether most of a unit's pool is free, or only kept for a gang."""
-        suitable = self._suitable_for(unit)
-        if suitable.mostly_free:
-            suitable.mostly_free = packing.mostly_free(
-                suitable.all, packing.free_or_kept
+        """Returns whether most of a unit's pool is free or reserved."""
+        pool = self._candidates_for(unit)
+        if pool.mostly_free:
+            pool.mostly_free = packing.mostly_free(
+                pool.all, packing.free_or_reserved
             )
-        return suitable.mostly_free
+        return pool.mostly_free
 
-    def _suitable_for(self, unit: units.Unit) -> "_Suitable":
-        """Returns the workers of a unit's pool that have its label."""
+    def _candidates_for(self, unit: units.Unit) -> "_PoolCandidates":
+        """Returns the candidates in a unit's pool with its required label."""
         key = (unit.record.job.terms.pool, unit.step.required_label)
-        if key not in self._suitable:
-            rooms = packing.eligible(unit, self._rooms.values())
-            self._suitable[key] = _Suitable(rooms, _without_very_slow(rooms))
-        return self._suitable[key]
+        if key not in self._pool_candidates:
+            candidates = packing.eligible(unit, self._candidates.values())
+            self._pool_candidates[key] = _PoolCandidates(
+                candidates, _without_very_slow(candidates)
+            )
+        return self._pool_candidates[key]
 
-    def _eligible(self, unit: units.Unit) -> list[room_module.Room]:
-        suitable = self._suitable_for(unit)
+    def _eligible(self, unit: units.Unit) -> list[rooms.Candidate]:
+        pool = self._candidates_for(unit)
         waited = self._view.now_ms - unit.waiting_since_ms
         if waited >= ANY_WORKER_AFTER_MS:
-            return suitable.all  # rather a poor worker than none
+            return pool.all  # a poor worker is better than none
         avoid: set[str] = set()
         for task in unit.tasks:
             avoid |= self._view.avoid(task)
         if not avoid:
-            return suitable.sound or suitable.all
-        kept = [
-            room for room in suitable.all if room.worker.worker_id not in avoid
+            return pool.not_very_slow or pool.all
+        others = [
+            candidate
+            for candidate in pool.all
+            if candidate.worker.worker_id not in avoid
         ]
-        return _without_very_slow(kept) or kept or suitable.all
+        return _without_very_slow(others) or others or pool.all
 
-    def _take(self, unit: units.Unit, found: packing.Assignment) -> None:
+    def _place_tasks(self, unit: units.Unit, found: packing.Assignment) -> None:
         placements = []
-        for task, room in found:
-            room.take(unit.step.needs)
-            room.runs += 1
-            room.holds_suspect |= unit.apart_since_ms is not None
-            run = unit.run_of(task)
-            placements.append(commands.Placement(run, room.worker.worker_id))
+        for task, candidate in found:
+            candidate.allocate(unit.step.needs)
+            candidate.run_count += 1
+            candidate.has_suspect |= unit.isolated_since_ms is not None
+            run = unit.next_run(task)
+            placements.append(
+                commands.Placement(run, candidate.worker.worker_id)
+            )
         if unit.step.gang and placements:
             self._plan.groups.append(tuple(placements))
         else:
             self._plan.groups += [(placement,) for placement in placements]
 
-    def _obstacle(self, unit: units.Unit, rooms: list[room_module.Room]) -> str:
-        """Says in one word how much room there is, for people."""
+    def _obstacle(
+        self, unit: units.Unit, candidates: list[rooms.Candidate]
+    ) -> str:
+        """Returns a summary of the free slots, without spaces, for the log."""
         slots = [
-            sum(unit.step.needs.times_in(room.free) for room in inside)
-            for inside in room_module.by_rack(rooms).values()
+            sum(
+                unit.step.needs.times_in(candidate.free) for candidate in inside
+            )
+            for inside in rooms.by_rack(candidates).values()
         ]
         return (
-            f"workers:{len(rooms)},best-rack:{max(slots, default=0)},"
-            f"all:{sum(slots)},wanted:{len(unit.tasks)},kept-for-gangs:{self._fenced}"
+            f"workers:{len(candidates)},best-rack:{max(slots, default=0)},"
+            f"all:{sum(slots)},wanted:{len(unit.tasks)},kept-for-gangs:{self._reservations}"
         )
 
-    def _make_room(
-        self, unit: units.Unit, rooms: list[room_module.Room]
+    def _preempt_for(
+        self, unit: units.Unit, candidates: list[rooms.Candidate]
     ) -> None:
-        """Keeps what is about to be free; stops others if it is too little."""
-        soon = packing.fit(unit, rooms, packing.free_soon, self._count_on)
+        """Allocates capacity that is about to be freed, else preempts runs."""
+        soon = packing.fit(unit, candidates, packing.free_soon, self._count_on)
         if len(soon) == len(unit.tasks):
-            self._reserve(unit, soon)
+            self._allocate(unit, soon)
             return
         eviction = preemption.evict(
             unit,
-            rooms,
-            self._may_stop(),
+            candidates,
+            self._preemptible(),
             self._count_on,
-            self._needs_fast_workers(unit, rooms),
+            self._needs_fast_workers(unit, candidates),
             self._policy,
         )
         if eviction is None:
-            self._reserve(unit, soon)
+            self._allocate(unit, soon)
             if unit.step.gang:
-                self._keep_rooms(unit, rooms)
+                self._reserve_for(unit, candidates)
             return
         for victim in eviction.victims:
             self._stop(victim, unit)
-        self._reserve(unit, eviction.assignment)
+        self._allocate(unit, eviction.assignment)
 
     def _needs_fast_workers(
-        self, unit: units.Unit, rooms: abc.Iterable[room_module.Room]
+        self, unit: units.Unit, candidates: abc.Iterable[rooms.Candidate]
     ) -> bool:
-        """Whether a unit would be late on slow workers after a stop."""
-        slowest = max((room.slowness for room in rooms), default=1.0)
-        begins_ms = self._view.now_ms + self._view.stop_grace_ms
-        ends_ms = begins_ms + slowest * unit.chain_ms
-        return ends_ms > unit.objective_ms
+        """Returns whether a unit misses its objective on the slowest worker.
 
-    def _may_stop(self) -> preemption.Victims:
+        It starts there after a preempted run has ended.
+        """
+        slowest = max(
+            (candidate.slowness for candidate in candidates), default=1.0
+        )
+        start_ms = self._view.now_ms + self._view.stop_grace_ms
+        end_ms = start_ms + slowest * unit.critical_path_ms
+        return end_ms > unit.objective_ms
+
+    def _preemptible(self) -> preemption.Victims:
         if self._victims is None:
             self._victims = preemption.Victims(
                 preemption.victims_below(
@@ -427,67 +449,76 @@
         for run in victim.runs:
             self._plan.stopped_for[run] = unit.record.job.job_id
         for worker_id, amount in victim.freed.items():
-            room = self._rooms.get(worker_id)
-            if room is not None:
-                room.leaving += amount
+            candidate = self._candidates.get(worker_id)
+            if candidate is not None:
+                candidate.used_by_stopping += amount
 
-    def _keep_rooms(
-        self, unit: units.Unit, rooms: list[room_module.Room]
+    def _reserve_for(
+        self, unit: units.Unit, candidates: list[rooms.Candidate]
     ) -> None:
-        """Keeps for a gang that waits long what will be room for it."""
+        """Reserves capacity for a gang that has waited long."""
         if not self._policy.kept_rooms:
             return
         waited = self._view.now_ms - unit.waiting_since_ms
-        if waited < FENCE_AFTER_MS or self._fenced >= MAX_FENCED:
+        if waited < RESERVE_AFTER_MS or self._reservations >= MAX_RESERVATIONS:
             return
-        rack_before = self._view.kept_racks.get(unit.key, "")
-        kept = keeping.rooms_for(unit, rooms, rack_before)
-        if kept is None:
+        previous_rack = self._view.kept_racks.get(unit.key, "")
+        reservation = keeping.find_reservation(unit, candidates, previous_rack)
+        if reservation is None:
             return
-        self._fenced += 1
-        self._kept_until_ms = keeping.whole_at_ms(
-            unit, kept, self._ledger, self._view.now_ms, self._view.step_ms
+        self._reservations += 1
+        self._reservation_start_ms = keeping.expected_start_ms(
+            unit,
+            reservation,
+            self._ledger,
+            self._view.now_ms,
+            self._view.step_ms,
         )
-        if kept.rack:
-            self._plan.kept_racks[unit.key] = kept.rack
-        for room, count in kept.slots:
+        if reservation.rack:
+            self._plan.kept_racks[unit.key] = reservation.rack
+        for candidate, count in reservation.slots:
             for _ in range(count):
-                room.keep(unit.step.needs)
+                candidate.reserve(unit.step.needs)
 
-    def _leaves_kept_room_in_time(self, unit: units.Unit) -> bool:
-        """Whether tasks end long before a gang can use what it keeps."""
+    def _ends_before_reservation(self, unit: units.Unit) -> bool:
+        """Returns whether a unit's tasks end before the gang can start."""
         step = unit.step
         if step.gang or step.long_running:
             return False
-        step_ms = self._view.step_ms(unit.record.job, unit.number)
-        most_ms = SAFELY_SHORT * step_ms
-        return self._view.now_ms + most_ms <= self._kept_until_ms
+        step_ms = self._view.step_ms(unit.record.job, unit.step_index)
+        max_ms = BACKFILL_TIME_FACTOR * step_ms
+        return self._view.now_ms + max_ms <= self._reservation_start_ms
 
-    def _reserve(self, unit: units.Unit, found: packing.Assignment) -> None:
-        for _, room in found:
-            room.take(unit.step.needs)
+    def _allocate(self, unit: units.Unit, found: packing.Assignment) -> None:
+        """Subtracts the capacity of runs that are to be placed later."""
+        for _, candidate in found:
+            candidate.allocate(unit.step.needs)
 
     def _count_on(self, worker_id: str, task: model.TaskId) -> int:
         return checks.count_on(self._ledger, worker_id, task)
 
 
 @dataclasses.dataclass(slots=True)
-class _Suitable:
-    """The rooms that may run a kind of unit.
+class _PoolCandidates:
+    """The candidates with one pool and one required label.
 
     Attributes:
         all: All of them.
-        sound: Those whose workers are not very slow.
-        mostly_free: Whether most of them may be free. What is free only
-            becomes less while a plan is made, so False stays.
+        not_very_slow: Those that are not very slow.
+        mostly_free: False once most of their capacity is known to be in use.
+            Free capacity only shrinks while a plan is made, so False is final.
     """
 
-    all: list[room_module.Room]
-    sound: list[room_module.Room]
+    all: list[rooms.Candidate]
+    not_very_slow: list[rooms.Candidate]
     mostly_free: bool = True
 
 
 def _without_very_slow(
-    rooms: abc.Iterable[room_module.Room],
-) -> list[room_module.Room]:
-    return [room for room in rooms if room.slowness < worker_health.VERY_SLOW]
+    candidates: abc.Iterable[rooms.Candidate],
+) -> list[rooms.Candidate]:
+    return [
+        candidate
+        for candidate in candidates
+        if candidate.slowness < worker_health.VERY_SLOW
+    ]
--- a/laburnumsill/batch/policy.py
+++ b/laburnumsill/batch/policy.py
@@ -1,8 +1,8 @@
-"""Which mechanisms of the planner are in use.
+"""Switches for the planner's mechanisms.
 
-All of them are. The switches are there to measure what each is worth, in
-tests, in the emulator (`--without`) and on a copy of the product; they are no
-settings of it.
+The product uses all mechanisms. The switches serve to measure the effect of
+each one in tests, in the emulator (`--without`) and on a copy of the product;
+they are not part of its configuration.
 """
 
 import dataclasses
@@ -12,7 +12,7 @@
 
 
 class UnknownMechanismError(errors.InvalidInputError):
-    """No mechanism has this name."""
+    """There is no mechanism with a given name."""
 
     slug = "unknown-mechanism"
     title = "Unknown mechanism"
@@ -23,19 +23,19 @@
     """One switch for each mechanism.
 
     Attributes:
-        headroom: Single tasks leave room for urgent jobs to come.
-        kept_rooms: A gang that has waited long keeps room for itself.
-        tasks_in_kept_room: Short tasks use such room meanwhile.
-        spreading: A gang rather spreads over racks than leaves a pool idle.
-        learnt_times: Declared run times are corrected by those seen.
+        headroom: Units with slack leave headroom for urgent jobs.
+        kept_rooms: Capacity is reserved for gangs that have waited long.
+        tasks_in_kept_room: Short tasks backfill reserved capacity.
+        spreading: A gang may span racks if the pool would otherwise be idle.
+        learnt_times: Declared run times are corrected by observed ones.
         learnt_speeds: Urgent tasks go to fast workers first.
-        very_slow_last: Very slow workers get what fits nowhere else.
-        setting_aside: Failing and hanging workers get nothing for a while.
-        avoiding: A task does not go again to a worker on which it failed.
-        in_time_first: What can be in time goes before what cannot.
-        pruning: Stops that turn out to be needless are left out.
-        cheapest_slot: Runs are stopped where the next slot costs least.
-        asking: Workers are asked before runs are placed on them.
+        very_slow_last: Very slow workers are used only if nothing else fits.
+        setting_aside: Failing and stalled workers are put into quarantine.
+        avoiding: A task avoids workers on which it failed.
+        in_time_first: Units that can meet their objective come first.
+        pruning: Victims that turn out not to be needed are left out.
+        cheapest_slot: Victims are chosen where the next slot costs least.
+        asking: Workers are probed before runs are placed on them.
 
     Examples:
         >>> without(["headroom"]).headroom, without([]) == ALL
@@ -58,16 +58,16 @@
 
 
 ALL = Policy()
-"""What the product uses."""
+"""The policy of the product: all mechanisms on."""
 
 MECHANISMS = tuple(field.name for field in dataclasses.fields(Policy))
 
 
 def without(names: abc.Iterable[str]) -> Policy:
-    """Returns a policy with some mechanisms off.
+    """Returns a policy with some mechanisms turned off.
 
     Raises:
-        UnknownMechanismError: There is none of that name.
+        UnknownMechanismError: There is no mechanism with one of the names.
     """
     off = tuple(names)
     for name in off:
--- a/laburnumsill/batch/preemption.py
+++ b/laburnumsill/batch/preemption.py
@@ -1,8 +1,8 @@
-"""Which runs to stop so that an urgent unit fits.
+"""Preemption: choice of the runs to stop so that an urgent unit fits.
 
-The cheapest sufficient set is sought greedily: for each task the worker on
-which the least work is lost. A gang's member counts for its whole gang,
-since stopping one stops all.
+A greedy search for a cheap sufficient set: for each task, the worker on which
+the least work is lost. A gang member counts as its whole gang, since stopping
+one member stops all of them.
 """
 
 import dataclasses
@@ -14,28 +14,30 @@
 from laburnumsill.batch import packing
 from laburnumsill.batch import policy as policies
 from laburnumsill.batch import records
-from laburnumsill.batch import rooms as room_module
+from laburnumsill.batch import rooms
 from laburnumsill.batch import units
 
 SAVED_WORK_S = 1.0
-"""Work lost at most by a step that saves progress, in seconds: the users'
-workers save once a second."""
+"""Work that a run of a step with saved progress loses at most, in seconds: the
+users' workers save progress once a second."""
 
 DISTURBANCE_CORE_S = 20.0
-"""What any stop costs beside the work lost, in core-seconds: a start, the
-restoring, and the time of a job that may have been in time."""
+"""Cost of any preemption besides the lost work, in core-seconds: another start,
+restoring saved progress, and the delay of a job that might otherwise have met
+its objective."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, eq=False)
 class Victim:
-    """Runs that end together, and what stopping them costs.
+    """Runs that can only be stopped together, and the cost of that.
 
-    Each is equal to itself only: comparing all runs took most of a plan.
+    Victims are compared by identity: comparing their runs took most of the
+    time of a plan.
 
     Attributes:
-        runs: One run, or all of a gang.
-        cost: Core-seconds of work that would be lost.
-        freed: What each worker gets back.
+        runs: One run, or all runs of a gang.
+        cost: Cost of the preemption, in core-seconds.
+        freed: Freed resources by worker.
     """
 
     runs: tuple[model.RunId, ...]
@@ -45,17 +47,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Eviction:
-    """Runs to stop, and where the unit goes when they have ended."""
+    """Runs to stop, and the unit's assignment once they have ended."""
 
     victims: tuple[Victim, ...]
     assignment: packing.Assignment
 
 
 class Victims:
-    """What may be stopped, by the workers where it runs.
+    """Possible victims, indexed by worker.
 
     Args:
-        victims: All of it.
+        victims: All possible victims.
     """
 
     def __init__(self, victims: abc.Iterable[Victim]) -> None:
@@ -66,18 +68,18 @@
                 self._on_worker.setdefault(worker_id, []).append(victim)
                 self._all_freed[worker_id] = self.freed_on(worker_id) + freed
         for worker_id, there in self._on_worker.items():
-            there.sort(key=functools.partial(_price, worker_id))
+            there.sort(key=functools.partial(_cost_per_core, worker_id))
 
     def on_worker(self, worker_id: str) -> abc.Sequence[Victim]:
-        """Returns those that run on a worker, the cheapest first."""
+        """Returns the victims on a worker, cheapest per freed core first."""
         return self._on_worker.get(worker_id, ())
 
     def freed_on(self, worker_id: str) -> model.Resources:
-        """Returns what all of them free on a worker."""
+        """Returns the resources that all victims together free on a worker."""
         return self._all_freed.get(worker_id, _NOTHING)
 
     def remove(self, victim: Victim) -> None:
-        """Takes out one that is being stopped."""
+        """Removes a victim, as it is being stopped."""
         for worker_id, freed in victim.freed.items():
             self._on_worker[worker_id].remove(victim)
             self._all_freed[worker_id] -= freed
@@ -92,7 +94,7 @@
     stopping: abc.Set[model.RunId],
     now_ms: int,
 ) -> list[Victim]:
-    """Returns what may be stopped for a unit of a priority."""
+    """Returns the victims for a unit of a priority: runs of lower priority."""
     found: list[Victim] = []
     for key, runs in ledger.runs_of_steps.items():
         job = ledger.jobs[key[0]].job
@@ -101,72 +103,76 @@
         step = job.steps[key[2]]
         left = [run for run in runs.values() if run.run not in stopping]
         if not step.gang:
-            found += [_victim(step, (run,), now_ms) for run in left]
+            found += [_make_victim(step, (run,), now_ms) for run in left]
         elif left:
-            found.append(_victim(step, left, now_ms))
+            found.append(_make_victim(step, left, now_ms))
     return found
 
 
 def evict(
     unit: units.Unit,
-    rooms: abc.Sequence[room_module.Room],
+    candidates: abc.Sequence[rooms.Candidate],
     victims: Victims,
     count_on: packing.CountOn,
     fast_first: bool,
     policy: policies.Policy = policies.ALL,
 ) -> Eviction | None:
-    """Returns the cheapest way found to fit a unit, or None if there is none.
+    """Returns the cheapest eviction found for a unit, or None.
 
     Args:
         unit: An urgent unit that fits neither now nor soon.
-        rooms: The workers that may run it.
-        victims: What may be stopped.
-        count_on: How many tasks of a task's step a worker has already.
-        fast_first: Whether slow workers are to be taken only if the fast
-            ones do not suffice.
-        policy: Which mechanisms are in use.
+        candidates: The workers that may run it.
+        victims: The possible victims.
+        count_on: Returns how many runs of a task's step a worker has.
+        fast_first: Whether slow workers are used only if the fast ones are
+            not enough.
+        policy: The mechanisms in use.
     """
-    fast = [room for room in rooms if not packing.is_slow(room)]
-    preferences = [fast, rooms] if fast_first else [rooms]
-    for some in preferences:
-        racks = room_module.by_rack(some)
-        choices = [
-            _evict_within(unit, inside, victims, count_on, policy)
+    fast = [
+        candidate for candidate in candidates if not packing.is_slow(candidate)
+    ]
+    preferences = [fast, candidates] if fast_first else [candidates]
+    for preferred in preferences:
+        racks = rooms.by_rack(preferred)
+        evictions = [
+            _evict_from(unit, inside, victims, count_on, policy)
             for inside in racks.values()
         ]
-        found = [choice for choice in choices if choice is not None]
+        found = [choice for choice in evictions if choice is not None]
         if found:
             return min(found, key=lambda one: sum(v.cost for v in one.victims))
-    return _evict_within(unit, rooms, victims, count_on, policy)
+    return _evict_from(unit, candidates, victims, count_on, policy)
 
 
-def _evict_within(
+def _evict_from(
     unit: units.Unit,
-    rooms: abc.Sequence[room_module.Room],
+    candidates: abc.Sequence[rooms.Candidate],
     victims: Victims,
     count_on: packing.CountOn,
     policy: policies.Policy,
 ) -> Eviction | None:
-    """Stops what makes the next slot cheapest, until there are enough."""
-    clearing = _Clearing(unit.step.needs, rooms, victims, policy.cheapest_slot)
+    """Returns the eviction that frees slots on some workers, or None."""
+    clearing = _VictimSelection(
+        unit.step.needs, candidates, victims, policy.cheapest_slot
+    )
     if not clearing.make_slots(len(unit.tasks)):
         return None
     if policy.pruning:
         clearing.prune(len(unit.tasks))
-    assignment = packing.fit(unit, rooms, clearing.room_of, count_on)
+    assignment = packing.fit(unit, candidates, clearing.available, count_on)
     if len(assignment) < len(unit.tasks):
-        return None  # at most so many tasks may run on one worker
+        return None  # the step's limit per worker leaves too few slots
     return Eviction(tuple(clearing.chosen), assignment)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Offer:
-    """What one more slot on a worker takes.
+class _Option:
+    """A way to gain at least one more slot on a worker.
 
     Attributes:
-        cost: Core-seconds that are lost, for each slot that is gained.
+        cost: Cost for each slot that is gained, in core-seconds.
         worker_id: The worker.
-        victims: What has to be stopped.
+        victims: The victims that have to be stopped.
     """
 
     cost: float
@@ -174,20 +180,23 @@
     victims: tuple[Victim, ...]
 
 
-class _Clearing:
-    """Some rooms, and the victims that were chosen to make slots there.
+class _VictimSelection:
+    """Greedy choice of victims that free slots on some workers.
 
     Args:
-        needs: What one slot takes.
-        rooms: Where.
-        victims: What may be stopped.
-        cheapest: Whether the cheapest slot is made next, not any.
+        needs: Resources of one slot.
+        candidates: The workers.
+        victims: The possible victims.
+        cheapest: Whether the next slot is the cheapest one rather than any.
+
+    Attributes:
+        chosen: The victims chosen until now.
     """
 
     def __init__(
         self,
         needs: model.Resources,
-        rooms: abc.Sequence[room_module.Room],
+        candidates: abc.Sequence[rooms.Candidate],
         victims: Victims,
         cheapest: bool,
     ) -> None:
@@ -196,28 +205,33 @@
         self._cheapest = cheapest
         self._victims = victims
         self._soon_free = {
-            room.worker.worker_id: room.soon_free for room in rooms
+            candidate.worker.worker_id: candidate.soon_free
+            for candidate in candidates
         }
         self._slots = sum(
             needs.times_in(free) for free in self._soon_free.values()
         )
-        self._offers: dict[str, _Offer] = {}
+        self._options: dict[str, _Option] = {}
 
-    def room_of(self, room: room_module.Room) -> model.Resources:
-        """Returns what is free soon in a room, the chosen ones gone."""
-        return self._soon_free[room.worker.worker_id]
+    def available(self, candidate: rooms.Candidate) -> model.Resources:
+        """Returns what is free on a worker once the chosen have ended."""
+        return self._soon_free[candidate.worker.worker_id]
 
     def make_slots(self, wanted: int) -> bool:
-        """Chooses victims until there are so many slots, if that can be."""
-        if self._most_slots() < wanted:
+        """Chooses victims until there are enough slots.
+
+        Returns:
+            Whether there are as many slots as wanted.
+        """
+        if self._max_slots() < wanted:
             return False
         for worker_id in self._soon_free:
-            self._renew_offer(worker_id)
+            self._update_option(worker_id)
         while self._slots < wanted:
-            if not self._offers:
+            if not self._options:
                 return False
             best = min(
-                self._offers.values(),
+                self._options.values(),
                 key=lambda offer: (
                     offer.cost if self._cheapest else 0.0,
                     offer.worker_id,
@@ -228,28 +242,28 @@
         return True
 
     def prune(self, wanted: int) -> None:
-        """Leaves out victims without which there are enough slots as well.
+        """Removes victims that are not needed for the wanted slots.
 
-        The dearest are tried first: each was chosen for one slot, and a gang
-        that was chosen later may have freed it too.
+        A victim was chosen for one slot, which a gang that was chosen later
+        may free as well. The most expensive victims are tried first.
         """
         for victim in sorted(self.chosen, key=lambda one: -one.cost):
-            self._shift(victim, -1)
+            self._apply(victim, -1)
             if self._slots >= wanted:
                 self.chosen.remove(victim)
             else:
-                self._shift(victim, 1)
+                self._apply(victim, 1)
 
-    def _most_slots(self) -> int:
-        """Returns how many slots there would be with all victims gone."""
+    def _max_slots(self) -> int:
+        """Returns how many slots there would be without any victims."""
         return sum(
             self._needs.times_in(free + self._victims.freed_on(worker_id))
             for worker_id, free in self._soon_free.items()
         )
 
-    def _renew_offer(self, worker_id: str) -> None:
-        """Finds the victims for one more slot on a worker anew."""
-        self._offers.pop(worker_id, None)
+    def _update_option(self, worker_id: str) -> None:
+        """Recomputes the victims for one more slot on a worker."""
+        self._options.pop(worker_id, None)
         free = self._soon_free[worker_id]
         before = self._needs.times_in(free)
         cost = 0.0
@@ -262,20 +276,20 @@
             free += victim.freed[worker_id]
             gained = self._needs.times_in(free) - before
             if gained > 0:
-                self._offers[worker_id] = _Offer(
+                self._options[worker_id] = _Option(
                     cost / gained, worker_id, tuple(group)
                 )
                 return
 
     def _choose(self, victim: Victim) -> None:
         self.chosen.append(victim)
-        self._shift(victim, 1)
+        self._apply(victim, 1)
         for worker_id in victim.freed:
             if worker_id in self._soon_free:
-                self._renew_offer(worker_id)
+                self._update_option(worker_id)
 
-    def _shift(self, victim: Victim, sign: int) -> None:
-        """Adds what a victim frees to the rooms, or takes it away again."""
+    def _apply(self, victim: Victim, sign: int) -> None:
+        """Adds the resources that a victim frees, or subtracts them again."""
         for worker_id, freed in victim.freed.items():
             before = self._soon_free.get(worker_id)
             if before is None:
@@ -286,15 +300,15 @@
             self._slots -= self._needs.times_in(before)
 
 
-def _price(worker_id: str, victim: Victim) -> float:
-    """Returns the cost for each core that it frees on a worker."""
+def _cost_per_core(worker_id: str, victim: Victim) -> float:
+    """Returns a victim's cost for each core that it frees on a worker."""
     return victim.cost / max(model.weight(victim.freed[worker_id]), 0.001)
 
 
-def _victim(
+def _make_victim(
     step: model.Step, runs: abc.Sequence[records.RunRecord], now_ms: int
 ) -> Victim:
-    """Returns runs of one step that end together."""
+    """Returns the victim that consists of some runs of one step."""
     freed: dict[str, model.Resources] = {}
     lost_s = 0.0
     for run in runs:
--- a/laburnumsill/batch/rooms.py
+++ b/laburnumsill/batch/rooms.py
@@ -1,4 +1,4 @@
-"""What is free on workers, while a plan is being made."""
+"""Capacity of the workers while a plan is being made."""
 
 import dataclasses
 from collections import abc
@@ -8,133 +8,141 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Room:
-    """One worker that may be given runs.
+class Candidate:
+    """A worker on which runs may be placed, with its capacity.
 
     Attributes:
         worker: The worker.
-        free: What nobody occupies or has reserved.
-        kept: What is not free since it is kept for a gang that waits.
-        leaving: What runs occupy that are being stopped.
-        lasting: What runs occupy that last until their job is cancelled.
-        slowness: Run time on the worker relative to others.
-        runs: How many runs it has.
-        holds_suspect: Whether one of them may crash it.
+        free: Capacity that is neither used nor allocated nor reserved;
+            negative if more is allocated than is free until runs end.
+        reserved: Capacity that is reserved for a waiting gang.
+        used_by_stopping: Capacity used by runs that are being stopped.
+        used_by_long_running: Capacity used by runs that go on until their job
+            is cancelled.
+        slowness: Run time on the worker relative to other workers.
+        run_count: Number of runs on the worker.
+        has_suspect: Whether one of them is suspected of crashing workers.
     """
 
     worker: model.Worker
     free: model.Resources
-    kept: model.Resources = dataclasses.field(default_factory=model.Resources)
-    leaving: model.Resources = dataclasses.field(
+    reserved: model.Resources = dataclasses.field(
         default_factory=model.Resources
     )
-    lasting: model.Resources = dataclasses.field(
+    used_by_stopping: model.Resources = dataclasses.field(
+        default_factory=model.Resources
+    )
+    used_by_long_running: model.Resources = dataclasses.field(
         default_factory=model.Resources
     )
     slowness: float = 1.0
-    runs: int = 0
-    holds_suspect: bool = False
+    run_count: int = 0
+    has_suspect: bool = False
 
     @property
     def soon_free(self) -> model.Resources:
-        """What will be free once all that is being stopped has ended."""
-        return self.free + self.leaving
+        """Free capacity once the runs that are being stopped have ended."""
+        return self.free + self.used_by_stopping
 
     @property
-    def free_or_kept(self) -> model.Resources:
-        """What nobody occupies, whoever waits for it."""
-        return self.free + self.kept
+    def free_or_reserved(self) -> model.Resources:
+        """Free capacity, including what is reserved for a gang."""
+        return self.free + self.reserved
 
     @property
-    def free_at_best(self) -> model.Resources:
-        """What will be free once all has ended that ends by itself."""
-        return self.worker.capacity - self.lasting
+    def max_free(self) -> model.Resources:
+        """Capacity that is free when only long-running runs remain."""
+        return self.worker.capacity - self.used_by_long_running
 
-    def take(self, needs: model.Resources) -> None:
-        """Occupies an amount, or keeps it where it will be free soon."""
+    def allocate(self, needs: model.Resources) -> None:
+        """Allocates resources that are free now or will be free soon."""
         self.free -= needs
 
-    def keep(self, needs: model.Resources) -> None:
-        """Keeps an amount for a gang that waits."""
+    def reserve(self, needs: model.Resources) -> None:
+        """Reserves resources for a waiting gang."""
         self.free -= needs
-        self.kept += needs
+        self.reserved += needs
 
 
-def rooms_of(
+def find_candidates(
     ledger: ledgers.BatchLedger,
     usable: abc.Set[str],
     stopping: abc.Set[model.RunId],
     slowness: abc.Callable[[str], float],
-) -> dict[str, Room]:
-    """Returns the usable workers with what is free and what is leaving.
+) -> dict[str, Candidate]:
+    """Returns the candidates among the usable workers, by worker id.
 
     Args:
-        ledger: What is placed there.
-        usable: The workers that may be given runs.
-        stopping: Runs that were told to stop and have not ended.
-        slowness: Run time on a worker relative to others.
+        ledger: The workers and their runs.
+        usable: Ids of the workers on which runs may be placed.
+        stopping: Runs that were ordered to stop and have not ended yet.
+        slowness: Returns the run time on a worker relative to other workers.
     """
-    rooms = {}
+    candidates = {}
     for worker_id in sorted(usable):
         worker = ledger.workers.get(worker_id)
         if worker is None or worker.draining:
             continue
-        rooms[worker_id] = Room(
+        candidates[worker_id] = Candidate(
             worker,
             ledger.free_on(worker_id),
             slowness=slowness(worker_id),
-            runs=len(ledger.runs_on(worker_id)),
+            run_count=len(ledger.runs_on(worker_id)),
         )
-    _mark_suspects(ledger, rooms)
-    _add_leaving(ledger, stopping, rooms)
-    _add_lasting(ledger, stopping, rooms)
-    return rooms
+    _mark_suspects(ledger, candidates)
+    _add_stopping(ledger, stopping, candidates)
+    _add_long_running(ledger, stopping, candidates)
+    return candidates
 
 
 def _mark_suspects(
-    ledger: ledgers.BatchLedger, rooms: abc.Mapping[str, Room]
+    ledger: ledgers.BatchLedger, candidates: abc.Mapping[str, Candidate]
 ) -> None:
-    """Marks the rooms in which a task runs that may crash its worker."""
+    """Marks the candidates that run a task suspected of crashing workers."""
     for task in ledger.crashes.suspects:
         run = ledger.live_run(task)
         record = ledger.runs.get(run) if run is not None else None
-        room = rooms.get(record.worker_id) if record is not None else None
-        if room is not None:
-            room.holds_suspect = True
+        candidate = (
+            candidates.get(record.worker_id) if record is not None else None
+        )
+        if candidate is not None:
+            candidate.has_suspect = True
 
 
-def _add_leaving(
+def _add_stopping(
     ledger: ledgers.BatchLedger,
     stopping: abc.Set[model.RunId],
-    rooms: abc.Mapping[str, Room],
+    candidates: abc.Mapping[str, Candidate],
 ) -> None:
-    """Adds to rooms what runs occupy there that were told to stop."""
+    """Adds the capacity used by runs that are being stopped."""
     for run in stopping:
         record = ledger.runs.get(run)
-        room = rooms.get(record.worker_id) if record is not None else None
-        if room is not None:
-            room.leaving += ledger.needs_of(run)
+        candidate = (
+            candidates.get(record.worker_id) if record is not None else None
+        )
+        if candidate is not None:
+            candidate.used_by_stopping += ledger.needs_of(run)
 
 
-def _add_lasting(
+def _add_long_running(
     ledger: ledgers.BatchLedger,
     stopping: abc.Set[model.RunId],
-    rooms: abc.Mapping[str, Room],
+    candidates: abc.Mapping[str, Candidate],
 ) -> None:
-    """Adds to rooms what runs occupy there that do not end by themselves."""
+    """Adds the capacity used by long-running runs, except stopping ones."""
     for (job_id, _, number), runs in ledger.runs_of_steps.items():
         step = ledger.jobs[job_id].job.steps[number]
         if not step.long_running:
             continue
         for run in runs.values():
-            room = rooms.get(run.worker_id)
-            if room is not None and run.run not in stopping:
-                room.lasting += step.needs
+            candidate = candidates.get(run.worker_id)
+            if candidate is not None and run.run not in stopping:
+                candidate.used_by_long_running += step.needs
 
 
-def by_rack(rooms: abc.Iterable[Room]) -> dict[str, list[Room]]:
-    """Returns rooms by the rack that they stand in."""
-    racks: dict[str, list[Room]] = {}
-    for room in rooms:
-        racks.setdefault(room.worker.rack, []).append(room)
+def by_rack(candidates: abc.Iterable[Candidate]) -> dict[str, list[Candidate]]:
+    """Returns candidates by rack."""
+    racks: dict[str, list[Candidate]] = {}
+    for candidate in candidates:
+        racks.setdefault(candidate.worker.rack, []).append(candidate)
     return racks
--- a/laburnumsill/batch/tests/test_planner.py
+++ b/laburnumsill/batch/tests/test_planner.py
@@ -103,7 +103,7 @@
     early = planner.plan(planned_site.view(ledger, now_ms=100))
     assert [g[0].run.task.job_id for g in early.groups] == ["small"]
     late = planner.plan(
-        planned_site.view(ledger, now_ms=planner.FENCE_AFTER_MS)
+        planned_site.view(ledger, now_ms=planner.RESERVE_AFTER_MS)
     )
     assert late.groups == []
 
@@ -162,7 +162,7 @@
     )
     planned_site.submit(ledger, planned_site.job("s", 1, 1, priority=2))
     made = planner.plan(
-        planned_site.view(ledger, now_ms=planner.FENCE_AFTER_MS)
+        planned_site.view(ledger, now_ms=planner.RESERVE_AFTER_MS)
     )
     assert made.groups == []  # the one empty worker is kept for the gang
 
@@ -312,7 +312,7 @@
         for one in units.ready_units(ledger, 0)
         if one.record.job.job_id == job_id
     ]
-    return int(unit.objective_ms - 2 * unit.chain_ms)
+    return int(unit.objective_ms - 2 * unit.critical_path_ms)
 
 
 def test_a_gang_that_no_rack_holds_keeps_room_in_several():
@@ -327,7 +327,7 @@
     )
     planned_site.submit(ledger, planned_site.job("more", 48, 1, priority=2))
     made = planner.plan(
-        planned_site.view(ledger, now_ms=planner.FENCE_AFTER_MS)
+        planned_site.view(ledger, now_ms=planner.RESERVE_AFTER_MS)
     )
     taken = {p.worker_id for group in made.groups for p in group}
     assert len(ledger.workers) - len(taken) >= 4
--- a/laburnumsill/batch/tests/test_waiting_gangs.py
+++ b/laburnumsill/batch/tests/test_waiting_gangs.py
@@ -9,7 +9,7 @@
 from laburnumsill.batch import planner
 from laburnumsill.batch.tests import planned_site
 
-LATE_MS = planner.FENCE_AFTER_MS
+LATE_MS = planner.RESERVE_AFTER_MS
 
 
 def gang(job_id, tasks, priority=1, **step):
--- a/laburnumsill/batch/units.py
+++ b/laburnumsill/batch/units.py
@@ -1,4 +1,7 @@
-"""What can be placed now: gangs whole, other tasks one by one."""
+"""Units: the waiting tasks of a step that are planned together.
+
+A gang is placed as a whole, the tasks of other steps one by one.
+"""
 
 import dataclasses
 import math
@@ -9,8 +12,8 @@
 from laburnumsill.batch import records
 
 WAVES_IN_A_POOL = 4
-"""A wave is a quarter of what a pool can run at a time; from the users' rules
-on credit."""
+"""Waves that fill a pool: a wave is a quarter of the tasks that a pool can run
+at a time, as in the users' rules on credit."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -19,43 +22,45 @@
 
     Attributes:
         record: The job.
-        occurrence: Which occurrence.
-        number: Which step.
-        tasks: The tasks that wait; all of a gang.
-        waiting_since_ms: Since when they could run, ms since 1970.
-        objective_ms: Until when their job is in time, ms since 1970.
-        chain_ms: Expected time of the job's longest chain of steps.
-        apart_since_ms: Since when it is to run apart from others, as it may
-            crash its workers, ms since 1970; None if it need not.
+        occurrence: Index of the job's occurrence.
+        step_index: Index of the step.
+        tasks: The waiting tasks; all tasks of a gang.
+        waiting_since_ms: When the job was submitted or the occurrence became
+            due, whichever is later, ms since 1970.
+        objective_ms: Time by which the job should end, ms since 1970.
+        critical_path_ms: Expected run time of the job's critical path of steps.
+        isolated_since_ms: When a task of the unit was last blamed for a crash
+            and became a suspect to be isolated, ms since 1970; None if there is
+            no suspect.
     """
 
     record: records.JobRecord
     occurrence: int
-    number: int
+    step_index: int
     tasks: list[model.TaskId]
     waiting_since_ms: int
     objective_ms: float
-    chain_ms: float
-    apart_since_ms: int | None = None
+    critical_path_ms: float
+    isolated_since_ms: int | None = None
 
     @property
     def step(self) -> model.Step:
-        """The step as it was submitted."""
-        return self.record.job.steps[self.number]
+        """The submitted step."""
+        return self.record.job.steps[self.step_index]
 
     @property
     def priority(self) -> int:
-        """That of the job's queue."""
+        """Priority of the job's queue; 0 is the highest."""
         return self.record.job.terms.priority
 
     @property
     def key(self) -> model.StepKey:
-        """Names the unit among all."""
-        return (self.record.job.job_id, self.occurrence, self.number)
+        """Key of the step in this occurrence of the job."""
+        return (self.record.job.job_id, self.occurrence, self.step_index)
 
-    def run_of(self, task: model.TaskId) -> model.RunId:
-        """Returns the next run of a task; a gang's have one number."""
-        step = self.record.steps[self.occurrence][self.number]
+    def next_run(self, task: model.TaskId) -> model.RunId:
+        """Returns the id of a task's next run; a gang's runs share a number."""
+        step = self.record.steps[self.occurrence][self.step_index]
         if self.step.gang:
             last = max(one.last_run for one in step.tasks)
         else:
@@ -64,18 +69,18 @@
 
 
 StepMs = abc.Callable[[model.Job, int], float]
-"""Returns how long a task of a step takes, in ms."""
+"""Returns the expected run time of a step's tasks, in ms."""
 
 
 def declared_ms(job: model.Job, number: int) -> float:
-    """Returns what the submitter says a task of a step takes, in ms."""
+    """Returns the declared run time of a step's tasks, in ms."""
     return job.steps[number].estimated_ms
 
 
 def ready_units(
     ledger: ledgers.BatchLedger, now_ms: int, step_ms: StepMs = declared_ms
 ) -> list[Unit]:
-    """Returns all units that could run now, in no order."""
+    """Returns all units whose tasks could run now, unsorted."""
     found: list[Unit] = []
     for record in ledger.active_jobs.values():
         for occurrence in range(len(record.steps)):
@@ -86,7 +91,7 @@
 
 
 def next_due_ms(ledger: ledgers.BatchLedger, now_ms: int) -> int | None:
-    """Returns when the next occurrence is due, None if none is."""
+    """Returns when the next occurrence of any job is due, or None."""
     return min(
         (
             record.job.due_ms(occurrence)
@@ -98,28 +103,29 @@
     )
 
 
-def chain_ms(job: model.Job, step_ms: StepMs = declared_ms) -> float:
-    """Returns the time of a job's longest chain of steps, in ms.
+def critical_path_ms(job: model.Job, step_ms: StepMs = declared_ms) -> float:
+    """Returns the time of the critical path of a job's steps, in ms.
 
     Examples:
         >>> first = model.Step(1, model.Resources(), 900)
         >>> second = model.Step(1, model.Resources(), 500, (0,))
         >>> terms = model.QueueTerms("p", 0, 1)
-        >>> chain_ms(model.Job("j", "q", "", "", (first, second), terms))
+        >>> job = model.Job("j", "q", "", "", (first, second), terms)
+        >>> critical_path_ms(job)
         1400
     """
     ends: list[float] = []
-    for this, step in enumerate(job.steps):
-        before = max((ends[number] for number in step.depends_on), default=0)
-        ends.append(before + step_ms(job, this))
+    for number, step in enumerate(job.steps):
+        start = max((ends[other] for other in step.depends_on), default=0)
+        ends.append(start + step_ms(job, number))
     return max(ends, default=0)
 
 
 def _waves(ledger: ledgers.BatchLedger, job: model.Job, number: int) -> int:
-    """Returns how often the time of a step counts in its job's objective.
+    """Returns the number of waves of a step, for its job's objective.
 
-    The users count a step that is wider than a part of its pool as several
-    waves, one after the other.
+    By the users' rules, a step that is wider than a part of its pool counts as
+    several successive waves, each with the run time of a task.
     """
     step = job.steps[number]
     slots = ledger.slots_in(job.terms.pool, step.needs)
@@ -132,19 +138,19 @@
     occurrence: int,
     step_ms: StepMs,
 ) -> abc.Iterator[Unit]:
-    """Yields the units of one occurrence of a job."""
+    """Yields the ready units of one occurrence of a job."""
     job = record.job
     timing = None
     for number, step in enumerate(record.steps[occurrence]):
         if not step.undone or not record.ready(occurrence, number):
             continue
         tasks = ledger.waiting_tasks((job.job_id, occurrence, number))
-        whole = len(tasks) == job.steps[number].tasks
-        if not tasks or (job.steps[number].gang and not whole):
+        complete = len(tasks) == job.steps[number].tasks
+        if not tasks or (job.steps[number].gang and not complete):
             continue
         if timing is None:
             timing = _timing(ledger, record, occurrence, step_ms)
-        for part, apart_since_ms in _parts(ledger, job.steps[number], tasks):
+        for part, isolated_since_ms in _parts(ledger, job.steps[number], tasks):
             yield Unit(
                 record,
                 occurrence,
@@ -152,8 +158,8 @@
                 part,
                 timing.since_ms,
                 timing.objective_ms,
-                timing.chain_ms,
-                apart_since_ms,
+                timing.critical_path_ms,
+                isolated_since_ms,
             )
 
 
@@ -162,10 +168,14 @@
     step: model.Step,
     tasks: abc.Sequence[model.TaskId],
 ) -> abc.Iterator[tuple[list[model.TaskId], int | None]]:
-    """Yields the tasks of a step that may be placed together.
+    """Yields the parts of a step whose tasks may be placed together.
+
+    Suspects are separated from the other tasks and run one at a time, the one
+    with the most blame first. A gang is never split.
 
-    Of those that may crash their workers there is one at a time, apart from
-    the others; each with since when it is to be apart.
+    Yields:
+        Tasks, and when a suspect among them was last blamed, ms since 1970;
+        None if there is no suspect.
     """
     suspects = ledger.crashes.suspects
     waiting = [task for task in tasks if task in suspects]
@@ -189,17 +199,17 @@
     key: model.StepKey,
     tasks: abc.Set[model.TaskId],
 ) -> bool:
-    """Returns whether any of some tasks of a step runs."""
+    """Returns whether any of some tasks of a step has a live run."""
     return any(run.task in tasks for run in ledger.runs_of_steps.get(key, ()))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Timing:
-    """See the attributes of `Unit`."""
+    """Times of an occurrence; see the attributes of `Unit`."""
 
     since_ms: int
     objective_ms: float
-    chain_ms: float
+    critical_path_ms: float
 
 
 def _timing(
@@ -211,11 +221,11 @@
     job = record.job
     times = [step_ms(job, number) for number in range(len(job.steps))]
     since_ms = max(record.submitted_ms, job.due_ms(occurrence))
-    allowed_ms = chain_ms(
+    expected_ms = critical_path_ms(
         job, lambda job, number: _waves(ledger, job, number) * times[number]
     )
     return _Timing(
         since_ms,
-        since_ms + job.terms.stretch * allowed_ms + job.terms.target_ms,
-        chain_ms(job, lambda _, number: times[number]),
+        since_ms + job.terms.stretch * expected_ms + job.terms.target_ms,
+        critical_path_ms(job, lambda _, number: times[number]),
     )
