--- a/laburnumsill/batch/tests/planned_site.py
+++ b/laburnumsill/batch/tests/planned_site.py
@@ -1,4 +1,4 @@
-"""Small sites, jobs and views of them, for tests of plans."""
+"""Small sites, jobs and planner inputs for tests of the planner."""
 
 from laburnumsill.batch import caller_commands
 from laburnumsill.batch import commands
@@ -36,7 +36,7 @@
 
 
 def view(ledger, stopping=(), now_ms=0, guarantees=None):
-    """Returns a view in which all workers are usable."""
+    """Returns a planner input with all workers usable."""
     return planner.View(
         ledger,
         set(ledger.workers),
@@ -47,13 +47,13 @@
 
 
 def submit(ledger, *jobs):
-    """Hands jobs in."""
+    """Submits jobs."""
     for one in jobs:
         ledger.submit(caller_commands.SubmitJob(one, 0))
 
 
 def carry_out(ledger, made):
-    """Places what a plan says."""
+    """Applies the placements of a plan to the ledger."""
     placed = ledger.place(commands.PlaceRuns(tuple(made.groups), 0))
     assert set(placed.refusals) <= {""}
     return placed
@@ -62,13 +62,13 @@
 def occupy(
     ledger, worker_id, job_id, accelerators, placed_ms=0, priority=2, **step
 ):
-    """Places a long task on one worker."""
+    """Creates a job of one task and places the task on a worker."""
     one = job(job_id, 1, accelerators, priority, **step)
     occupy_with(ledger, worker_id, one, placed_ms)
 
 
 def occupy_with(ledger, worker_id, one, placed_ms=0):
-    """Places a job's only task on one worker."""
+    """Submits a job of one task and places the task on a worker."""
     submit(ledger, one)
     run = model.RunId(model.TaskId(one.job_id, 0, 0, 0), 1)
     placement = commands.Placement(run, worker_id)
@@ -77,15 +77,15 @@
 
 
 def lose(ledger, worker_id):
-    """Has a worker end."""
+    """Removes a worker as lost."""
     ledger.remove_worker(commands.RemoveWorker(worker_id, "lost", ended_ms=1))
 
 
 def taken(made):
-    """Returns the workers that a plan gives runs."""
+    """Returns the workers on which a plan places runs."""
     return {placed.worker_id for group in made.groups for placed in group}
 
 
 def placed_jobs(made):
-    """Returns the jobs of which a plan places runs."""
+    """Returns the jobs with runs that a plan places."""
     return {group[0].run.task.job_id for group in made.groups}
--- a/laburnumsill/batch/tests/test_plan_log.py
+++ b/laburnumsill/batch/tests/test_plan_log.py
@@ -1,4 +1,4 @@
-"""What is written of a plan can be read back, see `laburnumsill.explain`."""
+"""Log lines about plans, parsed by `laburnumsill.explain`."""
 
 import io
 
@@ -13,7 +13,7 @@
 from laburnumsill.explain import stories
 
 
-async def test_plans_are_read_back_from_their_lines(monkeypatch):
+async def test_explain_parses_the_lines_of_a_plan(monkeypatch):
     written = io.StringIO()
     monkeypatch.setattr("sys.stderr", written)
     logs.set_up("INFO", "core1")
--- a/laburnumsill/batch/tests/test_planner.py
+++ b/laburnumsill/batch/tests/test_planner.py
@@ -10,7 +10,7 @@
 from laburnumsill.batch.tests import planned_site
 
 
-def test_a_gang_goes_whole_to_one_rack():
+def test_gang_is_placed_as_a_whole_in_one_rack():
     ledger = planned_site.site()
     planned_site.submit(
         ledger, planned_site.job("g", 2, 8, gang=True, same_rack=True)
@@ -22,7 +22,7 @@
     planned_site.carry_out(ledger, made)
 
 
-def test_a_gang_that_does_not_fit_is_not_placed_in_part():
+def test_gang_that_does_not_fit_is_not_placed_in_part():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("x", 1, 1, priority=1))
     planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
@@ -35,7 +35,7 @@
     assert [unit.record.job.job_id for unit in made.waiting] == ["g"]
 
 
-def test_small_tasks_fill_what_is_broken_into_first():
+def test_small_tasks_fill_partly_used_workers_first():
     ledger = planned_site.site()
     planned_site.submit(ledger, planned_site.job("x", 1, 2, priority=1))
     planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
@@ -45,7 +45,7 @@
     assert len({run.worker_id for run in ledger.runs.values()}) == 1
 
 
-def test_an_urgent_gang_stops_the_cheapest_and_keeps_their_room():
+def test_urgent_gang_preempts_cheapest_runs_and_gets_their_capacity():
     ledger = planned_site.site(racks=1)
     planned_site.submit(
         ledger, planned_site.job("saves", 1, 8, priority=1, saves_progress=True)
@@ -72,7 +72,7 @@
     assert placement.worker_id == worker_id
 
 
-def test_work_of_equal_priority_is_never_stopped():
+def test_runs_of_equal_priority_are_never_preempted():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("a", 2, 8))
     planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
@@ -80,7 +80,7 @@
     assert planner.plan(planned_site.view(ledger)).stops == []
 
 
-def test_the_guaranteed_goes_before_what_is_beyond():
+def test_job_within_guarantee_goes_before_job_beyond_it():
     ledger = planned_site.site(racks=1, per_rack=1)
     planned_site.submit(
         ledger, planned_site.job("beyond", 2, 8, account="greedy")
@@ -92,7 +92,7 @@
     assert [group[0].run.task.job_id for group in made.groups] == ["own"]
 
 
-def test_a_long_waiting_gang_keeps_a_rack():
+def test_long_waiting_gang_reserves_a_rack():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("x", 1, 8, priority=1))
     planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
@@ -108,7 +108,7 @@
     assert late.groups == []
 
 
-def test_a_step_waits_for_those_it_depends_on():
+def test_step_waits_for_its_dependencies():
     ledger = planned_site.site()
     needs = model.Resources(1000, planned_site.GIB, 1)
     steps = (model.Step(1, needs), model.Step(2, needs, depends_on=(0,)))
@@ -124,7 +124,7 @@
     assert [g[0].run.task.step for g in made.groups] == [1, 1]
 
 
-def test_an_occurrence_waits_for_its_time():
+def test_occurrence_waits_until_it_is_due():
     ledger = planned_site.site()
     needs = model.Resources(1000, planned_site.GIB, 1)
     terms = model.QueueTerms("pool", 1, 3, 1.0, 5000)
@@ -137,7 +137,7 @@
     assert [g[0].run.task.occurrence for g in made.groups] == [0, 1]
 
 
-def test_a_gang_spreads_when_the_site_is_mostly_free_and_no_rack_is():
+def test_gang_spreads_when_the_site_but_no_rack_is_free_enough():
     ledger = planned_site.site(racks=3, per_rack=4)
     for rack in range(3):
         planned_site.occupy(ledger, f"w{rack}0", f"x{rack}", 1)
@@ -152,7 +152,7 @@
     assert len(group) == 3
 
 
-def test_a_rack_is_kept_where_a_gang_will_fit_first():
+def test_empty_worker_of_a_busy_rack_is_reserved_for_a_gang():
     ledger = planned_site.site(racks=1, per_rack=4)
     for number in range(3):
         planned_site.occupy(ledger, f"w0{number}", f"x{number}", 8)
@@ -164,10 +164,10 @@
     made = planner.plan(
         planned_site.view(ledger, now_ms=planner.RESERVE_AFTER_MS)
     )
-    assert made.groups == []  # the one empty worker is kept for the gang
+    assert made.groups == []  # the only empty worker is reserved for the gang
 
 
-def test_no_more_is_stopped_than_the_urgent_unit_needs():
+def test_no_more_runs_are_preempted_than_needed():
     ledger = planned_site.site(racks=1, per_rack=2)
     for worker_id in ("w00", "w01"):
         for number in range(4):
@@ -195,7 +195,7 @@
     assert {p.worker_id for p in group} == {"w02", "w03"}
 
 
-def test_a_unit_that_waits_long_takes_any_worker():
+def test_long_waiting_unit_goes_to_any_worker():
     ledger = planned_site.site(racks=1, per_rack=2)
     planned_site.submit(
         ledger, planned_site.job("g", 2, 8, priority=1, gang=True)
@@ -216,8 +216,8 @@
     assert len(later.groups) == 1
 
 
-def stop_for_urgent(ledger, slow, grace_ms):
-    """Returns the workers that are cleared for an urgent gang of 2 s."""
+def preempted_workers(ledger, slow, grace_ms):
+    """Returns the workers whose runs are preempted for an urgent job of 2 s."""
     seen = planner.View(
         ledger,
         set(ledger.workers),
@@ -231,14 +231,14 @@
     return {ledger.runs[run].worker_id for run in made.stops}
 
 
-def test_fast_workers_are_cleared_where_a_stop_and_a_slow_one_are_too_much():
+def test_fast_worker_is_preempted_if_a_slow_one_would_miss_the_objective():
     ledger = planned_site.site(racks=1, per_rack=2)
     planned_site.occupy(ledger, "w00", "cheap", 8)
     planned_site.occupy(ledger, "w01", "dear", 8, placed_ms=-60_000)
     ledger.submit(caller_commands.SubmitJob(planned_site.job("u", 1, 8), 1_000))
-    assert stop_for_urgent(ledger, {"w00"}, 900) == {"w01"}
-    # In time on the slow one too, which is cheaper to clear.
-    assert stop_for_urgent(ledger, {"w00"}, 200) == {"w00"}
+    assert preempted_workers(ledger, {"w00"}, 900) == {"w01"}
+    # The job also meets its objective on the slow worker, whose run is cheaper.
+    assert preempted_workers(ledger, {"w00"}, 200) == {"w00"}
 
 
 def with_headroom(ledger, headroom, now_ms=0):
@@ -247,17 +247,17 @@
     )
 
 
-def patient_job(job_id, tasks, **step):
-    """Returns a job with seconds to spare."""
+def job_with_slack(job_id, tasks, **step):
+    """Returns a job with seconds of slack."""
     one = planned_site.job(job_id, tasks, 1, priority=2, **step)
     terms = msgspec.structs.replace(one.terms, target_ms=5_000)
     return msgspec.structs.replace(one, terms=terms)
 
 
-def test_tasks_that_can_wait_leave_headroom_for_urgent_jobs():
-    """They were placed and stopped again for the next urgent job."""
+def test_tasks_with_slack_leave_headroom_for_urgent_jobs():
+    """Guards against placing tasks that the next urgent job preempts."""
     ledger = planned_site.site(racks=1)
-    planned_site.submit(ledger, patient_job("batch", 16))
+    planned_site.submit(ledger, job_with_slack("batch", 16))
     made = planner.plan(with_headroom(ledger, 10))
     assert len(made.groups) == 6
     planned_site.carry_out(ledger, made)
@@ -265,48 +265,48 @@
     assert len(planner.plan(with_headroom(ledger, 0)).groups) == 10
 
 
-def test_tasks_that_would_be_late_leave_no_headroom():
+def test_tasks_without_slack_leave_no_headroom():
     ledger = planned_site.site(racks=1)
-    planned_site.submit(ledger, patient_job("batch", 16))
+    planned_site.submit(ledger, job_with_slack("batch", 16))
     made = planner.plan(with_headroom(ledger, 10, now_ms=14_500))
     assert len(made.groups) == 16
 
 
-def test_a_job_of_which_nothing_runs_gets_one_task_whatever_the_headroom():
+def test_job_without_runs_gets_one_task_despite_headroom():
     ledger = planned_site.site(racks=1)
-    planned_site.submit(ledger, patient_job("batch", 16))
+    planned_site.submit(ledger, job_with_slack("batch", 16))
     made = planner.plan(with_headroom(ledger, 16))
     assert len(made.groups) == 1
     planned_site.carry_out(ledger, made)
     assert planner.plan(with_headroom(ledger, 16)).groups == []
 
 
-def test_gangs_that_could_not_run_twice_leave_no_headroom():
-    """The one beside it that lasts leaves none in any case."""
+def test_gang_without_slack_for_a_second_run_leaves_no_headroom():
+    """Long-running tasks leave no headroom in any case."""
     ledger = planned_site.site(racks=1)
-    planned_site.submit(ledger, patient_job("gang", 4, gang=True))
-    planned_site.submit(ledger, patient_job("lasts", 4, long_running=True))
-    ready_by_ms = run_twice_until_ms(ledger, "gang")
-    made = planner.plan(with_headroom(ledger, 16, ready_by_ms + 1))
+    planned_site.submit(ledger, job_with_slack("gang", 4, gang=True))
+    planned_site.submit(ledger, job_with_slack("lasts", 4, long_running=True))
+    last_start_ms = last_start_for_two_runs_ms(ledger, "gang")
+    made = planner.plan(with_headroom(ledger, 16, last_start_ms + 1))
     assert sum(len(group) for group in made.groups) == 8
 
 
-def test_a_gang_that_could_run_twice_leaves_headroom_whole():
-    """The load: it began between two bursts of urgent jobs and was stopped.
+def test_gang_with_slack_for_a_second_run_leaves_headroom():
+    """Guards against a gang that starts between bursts of urgent jobs.
 
-    On a site with 24 workers the same renewal was stopped four times and ended
-    10 s late.
+    The next burst preempts it: on a site with 24 workers, one gang was stopped
+    four times and ended 10 s late.
     """
     ledger = planned_site.site(racks=1)
-    planned_site.submit(ledger, patient_job("gang", 4, gang=True))
-    ready_by_ms = run_twice_until_ms(ledger, "gang")
-    assert not planner.plan(with_headroom(ledger, 13, ready_by_ms)).groups
-    (group,) = planner.plan(with_headroom(ledger, 12, ready_by_ms)).groups
+    planned_site.submit(ledger, job_with_slack("gang", 4, gang=True))
+    last_start_ms = last_start_for_two_runs_ms(ledger, "gang")
+    assert not planner.plan(with_headroom(ledger, 13, last_start_ms)).groups
+    (group,) = planner.plan(with_headroom(ledger, 12, last_start_ms)).groups
     assert len(group) == 4
 
 
-def run_twice_until_ms(ledger, job_id):
-    """Returns until when a job could run twice and be in time, in ms."""
+def last_start_for_two_runs_ms(ledger, job_id):
+    """Returns the latest start at which a job can run twice in time, in ms."""
     (unit,) = [
         one
         for one in units.ready_units(ledger, 0)
@@ -315,8 +315,8 @@
     return int(unit.objective_ms - 2 * unit.critical_path_ms)
 
 
-def test_a_gang_that_no_rack_holds_keeps_room_in_several():
-    """Small tasks took the last worker it lacked again and again."""
+def test_gang_larger_than_a_rack_reserves_workers_in_several():
+    """Guards against starvation of the gang by small tasks."""
     ledger = planned_site.site(racks=2, per_rack=3)
     planned_site.submit(
         ledger, planned_site.job("small", 6, 1, priority=2, max_per_worker=1)
@@ -333,11 +333,14 @@
     assert len(ledger.workers) - len(taken) >= 4
 
 
-def test_no_worker_is_looked_at_while_nothing_waits():
-    """The load: a calm site of hundreds of workers, an event every 30 ms."""
+def test_workers_are_not_examined_while_nothing_waits():
+    """Guards against work at each event of a large site with little load.
+
+    Such a site has hundreds of workers and an event every 30 ms.
+    """
 
     def slowness(_):
-        raise AssertionError("a worker was looked at")
+        raise AssertionError("a worker was examined")
 
     ledger = planned_site.site()
     planned_site.submit(ledger, planned_site.job("x", 4, 2, priority=2))
@@ -347,7 +350,7 @@
     assert (made.groups, made.stops, made.waiting) == ([], [], [])
 
 
-def test_what_is_being_stopped_is_about_to_be_free():
+def test_urgent_gang_waits_for_capacity_of_stopping_runs():
     ledger = planned_site.site(racks=1)
     for worker_id in ("w00", "w01"):
         planned_site.occupy(ledger, worker_id, f"x{worker_id}", 8)
--- a/laburnumsill/batch/tests/test_waiting_gangs.py
+++ b/laburnumsill/batch/tests/test_waiting_gangs.py
@@ -1,4 +1,4 @@
-"""What gangs that wait long keep, and what they leave to others."""
+"""Reservations for long-waiting gangs, and their use by other units."""
 
 import dataclasses
 
@@ -18,12 +18,12 @@
 
 
 def small(job_id, tasks):
-    """Returns tasks that fit into what other runs leave of a worker."""
+    """Returns tasks that fit into the free capacity of partly used workers."""
     return planned_site.job(job_id, tasks, 1, priority=2)
 
 
 def occupied_site(racks, per_rack, accelerators=1):
-    """Returns a site on whose workers something runs."""
+    """Returns a site with one run on each worker."""
     ledger = planned_site.site(racks, per_rack)
     for worker_id in sorted(ledger.workers):
         planned_site.occupy(ledger, worker_id, f"on-{worker_id}", accelerators)
@@ -31,13 +31,13 @@
 
 
 def late_plan(ledger, **changes):
-    """Returns a plan made when gangs have waited long enough to keep room."""
+    """Returns a plan at a time when gangs waited long enough to reserve."""
     view = planned_site.view(ledger, now_ms=LATE_MS)
     return planner.plan(dataclasses.replace(view, **changes))
 
 
 def end_runs(ledger, runs):
-    """Has runs end as done."""
+    """Ends runs successfully."""
     for run in runs:
         worker_id = ledger.runs[run].worker_id
         number = ledger.noted(worker_id) + 1
@@ -45,7 +45,7 @@
         ledger.note_ends(commands.NoteEnds(worker_id, (end,), LATE_MS))
 
 
-def test_a_gang_that_spans_racks_begins_though_small_tasks_always_wait():
+def test_gang_that_spans_racks_starts_despite_many_small_tasks():
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 4), small("many", 1_000))
     oldest = sorted(ledger.runs)
@@ -57,17 +57,17 @@
         if "wide" in planned_site.placed_jobs(made):
             return
         assert planned_site.placed_jobs(made) <= {"many"}
-    raise AssertionError("the gang did not begin when all others had ended")
+    raise AssertionError("the gang did not start after all other runs ended")
 
 
-def test_a_gang_that_spans_racks_keeps_no_more_workers_than_it_needs():
+def test_gang_that_spans_racks_reserves_only_the_workers_it_needs():
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 4), small("many", 48))
     made = late_plan(ledger)
     assert len(planned_site.taken(made)) == 2
 
 
-def test_of_several_waiting_gangs_one_keeps_room():
+def test_only_one_of_several_waiting_gangs_gets_a_reservation():
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("first", 4), gang("second", 4))
     planned_site.submit(ledger, small("many", 48))
@@ -76,7 +76,7 @@
     assert len(planned_site.taken(made)) == 2
 
 
-def test_a_gang_that_one_rack_holds_keeps_only_that():
+def test_gang_that_fits_into_a_rack_reserves_one_rack():
     ledger = occupied_site(racks=3, per_rack=3)
     planned_site.submit(ledger, gang("g", 3), small("many", 80))
     made = late_plan(ledger)
@@ -84,29 +84,29 @@
     assert len(racks) == 6 and len(set(racks)) == 2
 
 
-def test_what_becomes_empty_is_kept_instead_of_what_still_runs():
+def test_reservation_moves_to_a_worker_that_becomes_empty():
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 4), small("many", 48))
-    kept = set(ledger.workers) - planned_site.taken(late_plan(ledger))
-    other = min(set(ledger.workers) - kept)
+    reserved = set(ledger.workers) - planned_site.taken(late_plan(ledger))
+    other = min(set(ledger.workers) - reserved)
     end_runs(ledger, list(ledger.runs_on(other)))
     assert other not in planned_site.taken(late_plan(ledger))
 
 
-def test_another_worker_is_kept_for_one_that_goes():
+def test_reservation_replaces_a_lost_worker():
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 4), small("many", 48))
     made = late_plan(ledger)
-    kept = set(ledger.workers) - planned_site.taken(made)
-    gone = min(kept)
+    reserved = set(ledger.workers) - planned_site.taken(made)
+    gone = min(reserved)
     ledger.cancel(caller_commands.CancelJob(f"on-{gone}", LATE_MS))
     planned_site.lose(ledger, gone)
     made = late_plan(ledger, kept_racks=made.kept_racks)
     assert len(planned_site.taken(made)) == 1
 
 
-def test_nothing_is_kept_for_a_gang_that_the_workers_left_do_not_hold():
-    """It kept a rack from small tasks until the lost workers came back."""
+def test_gang_too_large_for_the_remaining_workers_gets_no_reservation():
+    """Guards against idle workers until the lost worker comes back."""
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 6), small("many", 48))
     planned_site.lose(ledger, "w00")
@@ -114,8 +114,8 @@
     assert planned_site.taken(made) == set(ledger.workers)
 
 
-def test_another_rack_is_kept_when_the_kept_one_lost_a_worker():
-    """The rack that could not hold the gang any more was kept for ever."""
+def test_reservation_moves_to_another_rack_when_a_worker_is_lost():
+    """Guards against a permanent reservation of a rack that is too small."""
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("g", 3, same_rack=True))
     made = late_plan(ledger)
@@ -127,8 +127,8 @@
     assert other != rack
 
 
-def test_a_rack_on_which_a_run_lasts_is_not_kept():
-    """Nothing ended there that the gang could wait for."""
+def test_rack_with_a_long_running_task_is_not_reserved():
+    """A gang would wait there for a run that does not end by itself."""
     ledger = planned_site.site(racks=2, per_rack=3)
     planned_site.occupy(ledger, "w00", "lasts", 1, long_running=True)
     for worker_id in ("w10", "w11", "w12"):
@@ -141,7 +141,7 @@
     assert racks == {"r0"}
 
 
-def test_a_gang_spreads_where_runs_that_last_leave_it_no_whole_rack():
+def test_gang_spreads_if_long_running_tasks_are_in_every_rack():
     ledger = planned_site.site(racks=2, per_rack=3)
     for rack in range(2):
         planned_site.occupy(
@@ -152,8 +152,8 @@
     assert len(placed) == 3
 
 
-def test_an_urgent_gang_for_which_nothing_can_be_stopped_keeps_room():
-    """Other urgent tasks took what it lacked again and again."""
+def test_urgent_gang_without_victims_gets_a_reservation():
+    """Guards against other urgent tasks that repeatedly take its capacity."""
     ledger = planned_site.site(racks=2, per_rack=3)
     for worker_id in sorted(ledger.workers):
         job_id = f"on-{worker_id}"
@@ -165,8 +165,8 @@
     assert len(planned_site.taken(made)) == 2
 
 
-def mostly_kept_site():
-    """Returns a site of which a waiting gang keeps all but a full worker."""
+def mostly_reserved_site():
+    """Returns a site where a gang reserves all workers but a full one."""
     ledger = planned_site.site(racks=2, per_rack=3)
     planned_site.occupy(ledger, "w00", "full", 8)
     planned_site.occupy(ledger, "w01", "last", 1)
@@ -174,40 +174,44 @@
     return ledger
 
 
-def test_a_job_gets_on_in_kept_room_while_the_site_is_mostly_free():
-    """It stood still beside an idle site until the gang's last worker."""
-    ledger = mostly_kept_site()
+def test_idle_job_gets_one_reserved_slot_while_the_site_is_mostly_free():
+    """Guards against a job without runs on a site that is idle for a gang."""
+    ledger = mostly_reserved_site()
     planned_site.submit(ledger, small("many", 48))
     made = late_plan(ledger)
     planned_site.carry_out(ledger, made)
     assert [len(group) for group in made.groups] == [1]
-    assert planned_site.taken(made) == {"w01"}  # where the gang waits anyhow
+    # The gang waits for this worker in any case.
+    assert planned_site.taken(made) == {"w01"}
     assert late_plan(ledger).groups == []
 
 
-def test_a_gang_gets_on_in_kept_room_while_the_site_is_mostly_free():
-    ledger = mostly_kept_site()
+def test_idle_gang_gets_reserved_capacity_while_the_site_is_mostly_free():
+    ledger = mostly_reserved_site()
     planned_site.submit(ledger, gang("x-small", 2, priority=2))
     made = late_plan(ledger)
     assert [len(group) for group in made.groups] == [2]
 
 
-def test_a_job_that_came_just_now_leaves_kept_room_alone():
-    ledger = mostly_kept_site()
+def test_new_job_does_not_use_reserved_capacity():
+    ledger = mostly_reserved_site()
     ledger.submit(caller_commands.SubmitJob(small("new", 1), LATE_MS - 100))
     assert late_plan(ledger).groups == []
 
 
-def test_a_job_leaves_kept_room_alone_while_the_site_is_mostly_in_use():
-    ledger = mostly_kept_site()
+def test_job_does_not_use_reserved_capacity_on_a_busy_site():
+    ledger = mostly_reserved_site()
     for number in range(2):
         planned_site.occupy(ledger, f"w1{number}", f"busy{number}", 8)
     planned_site.submit(ledger, small("many", 48))
     assert late_plan(ledger).groups == []
 
 
-def test_a_gang_does_not_spread_into_kept_room():
-    """It was three times as slow there, and held up the gang that waited."""
+def test_gang_does_not_spread_into_reserved_capacity():
+    """Guards against a gang that is slow there and delays the reserved one.
+
+    It ran three times as long on several racks.
+    """
     ledger = planned_site.site(racks=2, per_rack=3)
     used = {"w01": 1, "w02": 5, "w10": 8, "w11": 8, "w12": 1}
     for worker_id, accelerators in used.items():
@@ -223,42 +227,47 @@
     assert made.groups == []
 
 
-def kept_beside_long_runs(short_ms):
-    """Returns a site in use, two workers kept, and tasks that take so long.
+def reservation_behind_long_runs(short_ms):
+    """Returns a site with two reserved workers and tasks with a declared time.
 
     The gang's last worker is expected to be free in 12 s.
+
+    Args:
+        short_ms: The declared run time of the waiting tasks, in ms.
     """
     ledger = planned_site.site(racks=1, per_rack=3)
     for worker_id in ("w01", "w02"):
         long_job = planned_site.job(f"on-{worker_id}", 1, 8, priority=2)
-        planned_site.occupy_with(ledger, worker_id, lasting(long_job, 15_000))
+        planned_site.occupy_with(
+            ledger, worker_id, with_declared_time(long_job, 15_000)
+        )
     planned_site.submit(ledger, gang("g", 2))
-    planned_site.submit(ledger, lasting(small("many", 20), short_ms))
+    planned_site.submit(ledger, with_declared_time(small("many", 20), short_ms))
     return ledger
 
 
-def lasting(job, task_ms):
-    """Returns a job whose tasks are declared to take so long."""
+def with_declared_time(job, task_ms):
+    """Returns a job with a declared run time of its tasks."""
     (step,) = job.steps
     step = msgspec.structs.replace(step, estimated_ms=task_ms)
     return msgspec.structs.replace(job, steps=(step,))
 
 
-def test_short_tasks_use_room_that_is_kept_for_later():
-    """They waited for 40 s beside workers that were idle meanwhile."""
-    ledger = kept_beside_long_runs(4_000)
+def test_short_tasks_backfill_a_reservation():
+    """Guards against idle reserved workers: short tasks waited for 40 s."""
+    ledger = reservation_behind_long_runs(4_000)
     made = late_plan(ledger)
     assert [placed.worker_id for (placed,) in made.groups] == ["w00"] * 8
 
 
-def test_tasks_that_might_end_too_late_leave_kept_room_alone():
-    assert late_plan(kept_beside_long_runs(4_100)).groups == []
+def test_tasks_that_may_end_too_late_do_not_backfill():
+    assert late_plan(reservation_behind_long_runs(4_100)).groups == []
 
 
-def test_a_run_that_is_overdue_is_given_half_its_time_again():
-    ledger = kept_beside_long_runs(2_900)
+def test_overdue_run_is_expected_to_take_half_its_time_more():
+    ledger = reservation_behind_long_runs(2_900)
     view = planned_site.view(ledger, now_ms=18_000)
     assert len(planner.plan(view).groups) == 8
-    ledger = kept_beside_long_runs(3_100)
+    ledger = reservation_behind_long_runs(3_100)
     view = planned_site.view(ledger, now_ms=18_000)
     assert planner.plan(view).groups == []
