--- a/laburnumsill/batch/checks.py
+++ b/laburnumsill/batch/checks.py
@@ -93,14 +93,14 @@
         free[worker_id] = free_here - step.needs
         key = (worker_id, task.step_key)
         if key not in counts:
-            counts[key] = count_on(ledger, worker_id, task)
+            counts[key] = count_runs(ledger, worker_id, task)
         counts[key] += 1
         if step.max_per_worker and counts[key] > step.max_per_worker:
             return f"more than {step.max_per_worker} tasks on {worker_id}"
     return ""
 
 
-def count_on(
+def count_runs(
     ledger: ledger_view.LedgerView, worker_id: str, task: model.TaskId
 ) -> int:
     """Returns the number of live runs of a task's step on a worker."""
--- a/laburnumsill/batch/contested_workers.py
+++ b/laburnumsill/batch/contested_workers.py
@@ -6,18 +6,18 @@
 
 
 def contested(
-    workers: abc.Collection[model.Worker], named: abc.Set[str]
+    workers: abc.Collection[model.Worker], configured_pools: abc.Set[str]
 ) -> set[str]:
     """Returns the ids of workers whose address or name another worker claims.
 
-    All but one of the claimants have ended, and only a probe of the address
-    shows which one is left: an announcement of an ended worker may arrive late.
-    A worker whose pool is not in the configuration does not make others
+    At most one of the claimants still runs, and only a probe of the address
+    shows which one: the announcement of an ended worker may arrive late. A
+    worker whose pool is not in the configuration does not make others
     contested, since anyone may have announced it.
 
     Args:
         workers: All known workers.
-        named: The pools in the configuration.
+        configured_pools: The pools in the configuration.
 
     Examples:
         >>> old = model.Worker("old", "p", "a:1", "d", model.Resources())
@@ -41,6 +41,6 @@
         for claimants in claims.values()
         if len(claimants) > 1
         for worker in claimants
-        if worker.pool not in named
-        or sum(other.pool in named for other in claimants) > 1
+        if worker.pool not in configured_pools
+        or sum(other.pool in configured_pools for other in claimants) > 1
     }
--- a/laburnumsill/batch/keeping.py
+++ b/laburnumsill/batch/keeping.py
@@ -71,7 +71,7 @@
         step_ms: Returns the expected run time of a step's tasks, in ms.
 
     Returns:
-        Wall time, ms since 1970; 0 if all of it is free.
+        Wall time, ms since 1970; 0 if no run has to end before.
     """
     ends = [
         _expected_end_ms(run, ledger, now_ms, step_ms)
@@ -90,8 +90,8 @@
 ) -> float:
     """Returns when a run is expected to end, ms since 1970.
 
-    An overdue run is expected to take another half of its run time until now,
-    since estimates are off by a factor rather than by a fixed time.
+    Each run is expected to go on for at least half as long as it has run, as
+    estimates of run times are off by a factor.
     """
     task = run.run.task
     job = ledger.jobs[task.job_id].job
--- a/laburnumsill/batch/packing.py
+++ b/laburnumsill/batch/packing.py
@@ -16,7 +16,7 @@
 Available = abc.Callable[[rooms.Candidate], model.Resources]
 """Returns the capacity of a worker that a unit may use."""
 
-CountOn = abc.Callable[[str, model.TaskId], int]
+CountRuns = abc.Callable[[str, model.TaskId], int]
 """Returns how many live runs of a task's step a worker has."""
 
 
@@ -56,7 +56,7 @@
     unit: units.Unit,
     candidates: abc.Sequence[rooms.Candidate],
     available: Available,
-    count_on: CountOn,
+    count_runs: CountRuns,
     may_spread: bool = False,
 ) -> Assignment:
     """Returns an assignment of as many of a unit's tasks as fit.
@@ -69,14 +69,14 @@
         unit: The tasks.
         candidates: The workers that may run them.
         available: Returns the capacity of a worker that the unit may use.
-        count_on: Returns how many runs of a task's step a worker has.
+        count_runs: Returns how many runs of a task's step a worker has.
         may_spread: Whether a gang may span racks although some rack could
             hold it once empty, and it is much slower on several racks.
 
     Returns:
         The assignment; empty if no task fits, or not all tasks of a gang.
     """
-    slots = _slots(unit, candidates, available, count_on)
+    slots = _slots(unit, candidates, available, count_runs)
     wanted = len(unit.tasks)
     if not unit.step.gang:
         return _assign(
@@ -95,7 +95,7 @@
     unit: units.Unit,
     candidates: abc.Sequence[rooms.Candidate],
     available: Available,
-    count_on: CountOn,
+    count_runs: CountRuns,
 ) -> dict[str, int]:
     """Returns how many of a unit's tasks fit on each worker."""
     step = unit.step
@@ -103,7 +103,7 @@
     for candidate in candidates:
         count = step.needs.times_in(available(candidate))
         if step.max_per_worker:
-            known = count_on(candidate.worker.worker_id, unit.tasks[0])
+            known = count_runs(candidate.worker.worker_id, unit.tasks[0])
             count = min(count, max(0, step.max_per_worker - known))
         slots[candidate.worker.worker_id] = count
     return slots
@@ -125,12 +125,14 @@
         if sum(slots[r.worker.worker_id] for r in inside) < len(unit.tasks):
             continue
         left = sum(available(candidate).accelerators for candidate in inside)
-        away = bool(unit.step.data_rack) and rack != unit.step.data_rack
+        far_from_data = (
+            bool(unit.step.data_rack) and rack != unit.step.data_rack
+        )
         slow = unit.priority == URGENT_PRIORITY and not _fits_fast(
             unit, inside, slots
         )
-        if best is None or (away, slow, left) < best:
-            best = (away, slow, left)
+        if best is None or (far_from_data, slow, left) < best:
+            best = (far_from_data, slow, left)
             chosen = inside
     return _fullest_first(unit, chosen, available) if chosen else None
 
@@ -212,7 +214,10 @@
     candidates: abc.Sequence[rooms.Candidate],
     available: Available,
 ) -> list[rooms.Candidate]:
-    """Returns candidates for single tasks: near their data, fullest first."""
+    """Returns candidates for single tasks, fullest first.
+
+    Only workers in the rack of their data are candidates, if there are any.
+    """
     rack = unit.step.data_rack
     near = [
         candidate for candidate in candidates if candidate.worker.rack == rack
@@ -235,7 +240,7 @@
     """
     urgent = unit.priority == URGENT_PRIORITY
 
-    def key(candidate: rooms.Candidate) -> tuple[bool, int, int, str]:
+    def sort_key(candidate: rooms.Candidate) -> tuple[bool, int, int, str]:
         free = available(candidate)
         return (
             urgent and is_slow(candidate),
@@ -244,7 +249,7 @@
             candidate.worker.worker_id,
         )
 
-    return sorted(candidates, key=key)
+    return sorted(candidates, key=sort_key)
 
 
 def _assign(
@@ -252,6 +257,7 @@
     candidates: abc.Iterable[rooms.Candidate],
     slots: dict[str, int],
 ) -> Assignment:
+    """Returns an assignment that fills candidates in their order."""
     found: Assignment = []
     waiting = iter(unit.tasks)
     left = len(unit.tasks)
--- a/laburnumsill/batch/plan_log.py
+++ b/laburnumsill/batch/plan_log.py
@@ -42,7 +42,12 @@
         return self._next_line_at.get(key, 0.0) <= self._clock.monotonic()
 
     def placement(self, placement: commands.Placement, refusal: str) -> None:
-        """Logs a placement, with the ledger's refusal or ""."""
+        """Logs a placement.
+
+        Args:
+            placement: The placement.
+            refusal: Why the ledger refused it, "" if it did not.
+        """
         record = self._ledger.jobs.get(placement.run.task.job_id)
         waited_ms = 0
         if record is not None:
--- a/laburnumsill/batch/planner.py
+++ b/laburnumsill/batch/planner.py
@@ -37,15 +37,16 @@
 
 SPREAD_AFTER_MS = 1_500
 """Waiting time after which a gang may span racks if most of its pool is free,
-in ms: the free capacity would otherwise stay unused."""
+in ms: the free capacity would otherwise stay unused. A step without runs may
+use reserved capacity after the same time."""
 
 APART_FOR_MS = 1_500
 """How long a task that is suspected of crashing its worker waits for an idle
 worker, in ms; after that it goes to the worker with the fewest runs."""
 
 MIN_SLACK_MS = 1_000
-"""Slack from which single tasks leave headroom, in ms: the time by which their
-job can be delayed and still meet its objective."""
+"""Single tasks leave headroom while their job has at least this slack, in ms:
+it can start later by that time and still meet its objective."""
 
 BACKFILL_TIME_FACTOR = 3
 """Factor on the expected run time of a task that backfills a reservation: it
@@ -101,7 +102,7 @@
     Attributes:
         groups: Runs to place; a group is placed as a whole or not at all.
         stops: Runs to preempt.
-        waiting: Units of which tasks could not be placed.
+        waiting: Units with tasks that could not be placed.
         kept_racks: Reserved racks by gang, an input of the next plan.
         obstacles: Why units wait, for the log.
         stopped_for: The preempting job of each run in `stops`, for the log.
@@ -134,6 +135,12 @@
 
 
 class _Planner:
+    """Makes one plan; units planned earlier reduce the capacity for later ones.
+
+    Args:
+        view: The input of the planner.
+    """
+
     def __init__(self, view: View) -> None:
         self._view = view
         self._ledger = view.ledger
@@ -168,6 +175,7 @@
         return self._view.now_ms + unit.critical_path_ms <= unit.objective_ms
 
     def _is_within_guarantee(self, unit: units.Unit) -> bool:
+        """Returns whether an urgent unit is within its account's guarantee."""
         if unit.priority != packing.URGENT_PRIORITY:
             return False
         account = unit.record.job.account
@@ -175,6 +183,7 @@
         return self._urgent_demand[account] <= guarantee
 
     def _plan_unit(self, unit: units.Unit) -> None:
+        """Places what fits of a unit, else preempts or reserves for it."""
         candidates = self._eligible(unit)
         found = [] if self._cannot_fit(unit) else self._fit(unit, candidates)
         may_backfill = self._may_backfill() and self._may_share(unit)
@@ -214,7 +223,7 @@
             unit,
             candidates,
             packing.free_now,
-            self._count_on,
+            self._count_runs,
             self._may_spread(unit, candidates),
         )
 
@@ -247,7 +256,7 @@
         if not ends_before and (found or not self._is_starved(unit)):
             return found
         found = packing.fit(
-            unit, candidates, packing.free_or_reserved, self._count_on
+            unit, candidates, packing.free_or_reserved, self._count_runs
         )
         return found if ends_before or unit.step.gang else found[:1]
 
@@ -255,7 +264,7 @@
         return self._reservations > 0 and self._policy.tasks_in_kept_room
 
     def _is_starved(self, unit: units.Unit) -> bool:
-        """Returns whether a step has no runs in a mostly free pool."""
+        """Returns whether a step has long had no run in a mostly free pool."""
         waited = self._view.now_ms - unit.waiting_since_ms
         if waited < SPREAD_AFTER_MS or unit.key in self._ledger.runs_of_steps:
             return False
@@ -275,11 +284,13 @@
             return found
         candidates = self._candidates_for(unit).all
         free = sum(candidate.free.accelerators for candidate in candidates)
-        most = max(0, free - self._view.headroom) // step.needs.accelerators
+        max_tasks = (
+            max(0, free - self._view.headroom) // step.needs.accelerators
+        )
         if step.gang:
-            return found if len(found) <= most else []
-        least = 0 if unit.key in self._ledger.runs_of_steps else 1
-        return found[: max(least, most)]
+            return found if len(found) <= max_tasks else []
+        min_tasks = 0 if unit.key in self._ledger.runs_of_steps else 1
+        return found[: max(min_tasks, max_tasks)]
 
     def _leaves_headroom(self, unit: units.Unit) -> bool:
         """Returns whether a unit has enough slack to leave headroom.
@@ -345,6 +356,10 @@
         return self._pool_candidates[key]
 
     def _eligible(self, unit: units.Unit) -> list[rooms.Candidate]:
+        """Returns the candidates for a unit, if possible without poor workers.
+
+        These are very slow workers and those that a task should avoid.
+        """
         pool = self._candidates_for(unit)
         waited = self._view.now_ms - unit.waiting_since_ms
         if waited >= ANY_WORKER_AFTER_MS:
@@ -362,6 +377,7 @@
         return _without_very_slow(others) or others or pool.all
 
     def _place_tasks(self, unit: units.Unit, found: packing.Assignment) -> None:
+        """Adds runs to the plan, as one group for a gang."""
         placements = []
         for task, candidate in found:
             candidate.allocate(unit.step.needs)
@@ -395,7 +411,9 @@
         self, unit: units.Unit, candidates: list[rooms.Candidate]
     ) -> None:
         """Allocates capacity that is about to be freed, else preempts runs."""
-        soon = packing.fit(unit, candidates, packing.free_soon, self._count_on)
+        soon = packing.fit(
+            unit, candidates, packing.free_soon, self._count_runs
+        )
         if len(soon) == len(unit.tasks):
             self._allocate(unit, soon)
             return
@@ -403,7 +421,7 @@
             unit,
             candidates,
             self._preemptible(),
-            self._count_on,
+            self._count_runs,
             self._needs_fast_workers(unit, candidates),
             self._policy,
         )
@@ -443,6 +461,7 @@
         return self._victims
 
     def _stop(self, victim: preemption.Victim, unit: units.Unit) -> None:
+        """Adds the stop of a victim to the plan."""
         if self._victims is not None:
             self._victims.remove(victim)
         self._plan.stops += victim.runs
@@ -494,8 +513,8 @@
         for _, candidate in found:
             candidate.allocate(unit.step.needs)
 
-    def _count_on(self, worker_id: str, task: model.TaskId) -> int:
-        return checks.count_on(self._ledger, worker_id, task)
+    def _count_runs(self, worker_id: str, task: model.TaskId) -> int:
+        return checks.count_runs(self._ledger, worker_id, task)
 
 
 @dataclasses.dataclass(slots=True)
--- a/laburnumsill/batch/preemption.py
+++ b/laburnumsill/batch/preemption.py
@@ -17,11 +17,11 @@
 from laburnumsill.batch import rooms
 from laburnumsill.batch import units
 
-SAVED_WORK_S = 1.0
+MAX_UNSAVED_WORK_S = 1.0
 """Work that a run of a step with saved progress loses at most, in seconds: the
 users' workers save progress once a second."""
 
-DISTURBANCE_CORE_S = 20.0
+PREEMPTION_COST_CORE_S = 20.0
 """Cost of any preemption besides the lost work, in core-seconds: another start,
 restoring saved progress, and the delay of a job that might otherwise have met
 its objective."""
@@ -67,8 +67,8 @@
             for worker_id, freed in victim.freed.items():
                 self._on_worker.setdefault(worker_id, []).append(victim)
                 self._all_freed[worker_id] = self.freed_on(worker_id) + freed
-        for worker_id, there in self._on_worker.items():
-            there.sort(key=functools.partial(_cost_per_core, worker_id))
+        for worker_id, on_worker in self._on_worker.items():
+            on_worker.sort(key=functools.partial(_cost_per_core, worker_id))
 
     def on_worker(self, worker_id: str) -> abc.Sequence[Victim]:
         """Returns the victims on a worker, cheapest per freed core first."""
@@ -113,7 +113,7 @@
     unit: units.Unit,
     candidates: abc.Sequence[rooms.Candidate],
     victims: Victims,
-    count_on: packing.CountOn,
+    count_runs: packing.CountRuns,
     fast_first: bool,
     policy: policies.Policy = policies.ALL,
 ) -> Eviction | None:
@@ -123,7 +123,7 @@
         unit: An urgent unit that fits neither now nor soon.
         candidates: The workers that may run it.
         victims: The possible victims.
-        count_on: Returns how many runs of a task's step a worker has.
+        count_runs: Returns how many runs of a task's step a worker has.
         fast_first: Whether slow workers are used only if the fast ones are
             not enough.
         policy: The mechanisms in use.
@@ -135,34 +135,34 @@
     for preferred in preferences:
         racks = rooms.by_rack(preferred)
         evictions = [
-            _evict_from(unit, inside, victims, count_on, policy)
+            _evict_from(unit, inside, victims, count_runs, policy)
             for inside in racks.values()
         ]
         found = [choice for choice in evictions if choice is not None]
         if found:
             return min(found, key=lambda one: sum(v.cost for v in one.victims))
-    return _evict_from(unit, candidates, victims, count_on, policy)
+    return _evict_from(unit, candidates, victims, count_runs, policy)
 
 
 def _evict_from(
     unit: units.Unit,
     candidates: abc.Sequence[rooms.Candidate],
     victims: Victims,
-    count_on: packing.CountOn,
+    count_runs: packing.CountRuns,
     policy: policies.Policy,
 ) -> Eviction | None:
     """Returns the eviction that frees slots on some workers, or None."""
-    clearing = _VictimSelection(
+    selection = _VictimSelection(
         unit.step.needs, candidates, victims, policy.cheapest_slot
     )
-    if not clearing.make_slots(len(unit.tasks)):
+    if not selection.make_slots(len(unit.tasks)):
         return None
     if policy.pruning:
-        clearing.prune(len(unit.tasks))
-    assignment = packing.fit(unit, candidates, clearing.available, count_on)
+        selection.prune(len(unit.tasks))
+    assignment = packing.fit(unit, candidates, selection.available, count_runs)
     if len(assignment) < len(unit.tasks):
         return None  # the step's limit per worker leaves too few slots
-    return Eviction(tuple(clearing.chosen), assignment)
+    return Eviction(tuple(selection.chosen), assignment)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -232,9 +232,9 @@
                 return False
             best = min(
                 self._options.values(),
-                key=lambda offer: (
-                    offer.cost if self._cheapest else 0.0,
-                    offer.worker_id,
+                key=lambda option: (
+                    option.cost if self._cheapest else 0.0,
+                    option.worker_id,
                 ),
             )
             for victim in best.victims:
@@ -255,7 +255,7 @@
                 self._apply(victim, 1)
 
     def _max_slots(self) -> int:
-        """Returns how many slots there would be without any victims."""
+        """Returns how many slots there would be if all victims were stopped."""
         return sum(
             self._needs.times_in(free + self._victims.freed_on(worker_id))
             for worker_id, free in self._soon_free.items()
@@ -312,9 +312,11 @@
     freed: dict[str, model.Resources] = {}
     lost_s = 0.0
     for run in runs:
-        there = freed.get(run.worker_id)
-        freed[run.worker_id] = there + step.needs if there else step.needs
+        before = freed.get(run.worker_id)
+        freed[run.worker_id] = before + step.needs if before else step.needs
         ran_s = max(0.0, (now_ms - run.placed_ms) / 1000)
-        lost_s += min(ran_s, SAVED_WORK_S) if step.saves_progress else ran_s
-    cost = DISTURBANCE_CORE_S + lost_s * model.weight(step.needs)
+        lost_s += (
+            min(ran_s, MAX_UNSAVED_WORK_S) if step.saves_progress else ran_s
+        )
+    cost = PREEMPTION_COST_CORE_S + lost_s * model.weight(step.needs)
     return Victim(tuple(run.run for run in runs), cost, freed)
--- a/laburnumsill/batch/tests/planned_site.py
+++ b/laburnumsill/batch/tests/planned_site.py
@@ -76,7 +76,7 @@
     assert ledger.place(command).refusals == ("",)
 
 
-def lose(ledger, worker_id):
+def lose_worker(ledger, worker_id):
     """Removes a worker as lost."""
     ledger.remove_worker(commands.RemoveWorker(worker_id, "lost", ended_ms=1))
 
--- a/laburnumsill/batch/tests/test_waiting_gangs.py
+++ b/laburnumsill/batch/tests/test_waiting_gangs.py
@@ -100,7 +100,7 @@
     reserved = set(ledger.workers) - planned_site.taken(made)
     gone = min(reserved)
     ledger.cancel(caller_commands.CancelJob(f"on-{gone}", LATE_MS))
-    planned_site.lose(ledger, gone)
+    planned_site.lose_worker(ledger, gone)
     made = late_plan(ledger, kept_racks=made.kept_racks)
     assert len(planned_site.taken(made)) == 1
 
@@ -109,7 +109,7 @@
     """Guards against idle workers until the lost worker comes back."""
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 6), small("many", 48))
-    planned_site.lose(ledger, "w00")
+    planned_site.lose_worker(ledger, "w00")
     made = late_plan(ledger)
     assert planned_site.taken(made) == set(ledger.workers)
 
@@ -121,7 +121,7 @@
     made = late_plan(ledger)
     (rack,) = made.kept_racks.values()
     gone = min(w for w in ledger.workers if ledger.workers[w].rack == rack)
-    planned_site.lose(ledger, gone)
+    planned_site.lose_worker(ledger, gone)
     again = late_plan(ledger, kept_racks=made.kept_racks)
     (other,) = again.kept_racks.values()
     assert other != rack
