--- a/laburnumsill/batch/contested_workers.py
+++ b/laburnumsill/batch/contested_workers.py
@@ -1,4 +1,4 @@
-"""Workers of which two claim one address or one name."""
+"""Detection of workers that claim the same address or the same name."""
 
 from collections import abc
 
@@ -6,18 +6,18 @@
 
 
 def contested(
-    workers: abc.Collection[model.Worker], named: abc.Set[str]
+    workers: abc.Collection[model.Worker], configured_pools: abc.Set[str]
 ) -> set[str]:
-    """Returns the workers that claim an address or a name of another's.
+    """Returns the ids of workers whose address or name another worker claims.
 
-    One of them has ended, and which one is not known until the address is
-    asked: a late announcement may be that of the ended one. One whose pool the
-    configuration does not name puts no other in doubt, since anyone may have
-    announced it.
+    At most one of the claimants still runs, and only a probe of the address
+    shows which one: the announcement of an ended worker may arrive late. A
+    worker whose pool is not in the configuration does not make others
+    contested, since anyone may have announced it.
 
     Args:
-        workers: All that are known.
-        named: The pools that the configuration names.
+        workers: All known workers.
+        configured_pools: The pools in the configuration.
 
     Examples:
         >>> old = model.Worker("old", "p", "a:1", "d", model.Resources())
@@ -41,6 +41,6 @@
         for claimants in claims.values()
         if len(claimants) > 1
         for worker in claimants
-        if worker.pool not in named
-        or sum(other.pool in named for other in claimants) > 1
+        if worker.pool not in configured_pools
+        or sum(other.pool in configured_pools for other in claimants) > 1
     }
