--- a/laburnumsill/consensus/codec_raft.py
+++ b/laburnumsill/consensus/codec_raft.py
@@ -1,4 +1,4 @@
-"""Conversion between the engine's messages and those of peer.thrift."""
+"""Conversion between engine messages and the RaftMessage of peer.thrift."""
 
 from laburnumsill.consensus import types
 from laburnumsill.core import errors
@@ -7,20 +7,20 @@
 _NUMBERS = ("index", "log_term", "commit", "hint", "round", "synced", "offset")
 
 _FULL = "disk-full"
-"""The detail of a message whose sender can write nothing now."""
+"""Value of `detail` in a message whose sender cannot write now."""
 
 
 class MalformedRaftMessageError(errors.LaburnumsillError):
-    """A Raft message from a peer with a field missing or out of range."""
+    """A Raft message from a peer has a missing or out-of-range field."""
 
     slug = "malformed-raft-message"
     title = "Malformed Raft message"
 
 
 def to_thrift(group: str, message: types.Message) -> ttypes.RaftMessage:
-    """Returns `message` of `group` as it goes to a peer.
+    """Converts a message of `group` to its wire form.
 
-    Fields that have their default stay unset, so they take no bytes.
+    Fields with their default value stay unset, so they take no bytes.
 
     Examples:
         >>> a, b = types.ReplicaId("a", "i1"), types.ReplicaId("b", "i2")
@@ -56,7 +56,7 @@
 
 
 def from_thrift(raft: ttypes.RaftMessage) -> types.Message:
-    """Returns the engine's form of a message from a peer.
+    """Converts a message from its wire form.
 
     Raises:
         MalformedRaftMessageError: A field is missing or out of range.
--- a/laburnumsill/consensus/engine_errors.py
+++ b/laburnumsill/consensus/engine_errors.py
@@ -4,10 +4,10 @@
 
 
 class NotLeaderError(errors.NoQuorumError):
-    """This replica does not lead, or is handing its lead over.
+    """This replica does not lead, or is transferring leadership.
 
     Attributes:
-        leader: The VM that leads as far as is known, or None.
+        leader: VM of the leader, or None if unknown.
     """
 
     slug = "not-leader"
@@ -28,42 +28,42 @@
 
 
 class LeadUnconfirmedError(errors.NoQuorumError):
-    """A VM did not confirm that it leads, so no command was sent to it."""
+    """A VM did not confirm its leadership, so it was sent no command."""
 
     slug = "lead-unconfirmed"
     title = "The lead was not confirmed"
 
 
 class NoRoomError(errors.UnavailableError):
-    """So many disks are full that nothing could be committed."""
+    """Too few voters can write, so no entry can be committed."""
 
     slug = "no-room"
     title = "The disks of too many voters are full"
 
 
 class MembershipPendingError(errors.UnavailableError):
-    """The last change of the membership is not committed yet."""
+    """The previous membership change is not committed yet."""
 
     slug = "membership-pending"
     title = "Another membership change is not committed yet"
 
 
 class InvalidMembershipError(errors.InvalidInputError):
-    """A membership that may not follow the present one."""
+    """A change from the current membership that is not allowed."""
 
     slug = "invalid-membership"
     title = "The membership may not follow the present one"
 
 
 class NoSuchVoterError(errors.InvalidInputError):
-    """The lead cannot go to a VM that has no voter."""
+    """The target VM of a leadership transfer has no voter."""
 
     slug = "no-such-voter"
     title = "The VM has no voter in the group"
 
 
 class LogBrokenError(errors.StorageError):
-    """A rule that the log depends on was broken; the replica must stop."""
+    """A safety invariant of the log is violated; the replica must stop."""
 
     slug = "log-broken"
     title = "The replicated log is broken"
--- a/laburnumsill/consensus/lead_watch.py
+++ b/laburnumsill/consensus/lead_watch.py
@@ -1,10 +1,11 @@
-"""What a VM has seen of the leader of a group, and how long to wait for it.
-
-A caller's call that meets a lost leader has two bad ends: it is given up just
-before the next leader is there, and its caller comes back a second later; or it
-waits long for a leader that will not come. A lead is usually lost for half a
-second, so calls wait that out, counted from when the leader was first missed.
-After that they are refused at once until somebody leads again.
+"""Tracking of a group's leader from one VM, and time limits for calls to it.
+
+A call during a leader failure can go wrong in two ways: it is refused just
+before the next leader is elected, and the caller retries a second later; or it
+waits long for a leader that is not elected. A group is usually without a leader
+for half a second, so calls wait for an election, with a limit counted from the
+first time that no leader was found. After it they are refused after one round
+of attempts until a leader answers again.
 """
 
 import math
@@ -12,27 +13,27 @@
 from laburnumsill.core import learnt_wait
 
 SHORTEST_ATTEMPT_S = 0.1
-"""A VM is given so long for its answer at least: ten times what a commit takes
-on an idle site."""
+"""Minimum timeout of a call to one VM: ten times the duration of a commit on an
+idle site."""
 
 ELECTION_WITHIN_S = 1.0
-"""A lead that was lost is taken up within this: a follower's patience of 0.3 to
-0.6 s on a usual network, two votes and the first commit; 0.8 to 1.6 s where it
-has learnt nothing yet."""
+"""Wait for a new leader after a failure. It covers a follower's election timer
+of 0.3 to 0.6 s on a usual network, pre-vote and vote, and the first commit. The
+election timer takes 0.8 to 1.6 s while the adaptive timeout has no samples."""
 
-SILENT_S = 0.15
-"""A VM that did not answer is not asked again for so long, though it is named
-as the leader: its next answer may have been the only one that was lost."""
+RETRY_DELAY_S = 0.15
+"""Delay before a VM that did not answer is called again, even if it is named as
+the leader. It is short because just that one answer may have been lost."""
 
-ONE_ROUND_S = 0.15
-"""Every call gets so long: enough to ask each of three to five VMs once."""
+MIN_WAIT_S = 0.15
+"""Minimum wait of each call, enough to call each of three to five VMs once."""
 
 
 class LeadWatch:
-    """Watches one group from one VM.
+    """Availability of one group's leader, as seen from one VM.
 
     Args:
-        longest_attempt_s: Longest wait for one VM's answer.
+        longest_attempt_s: Maximum timeout of a call to one VM.
 
     Examples:
         >>> watch = LeadWatch(0.3)
@@ -45,46 +46,46 @@
 
     def __init__(self, longest_attempt_s: float) -> None:
         self._missed_at: float | None = None
-        self._attempt = learnt_wait.LearntWait(
+        self._attempt_timeout = learnt_wait.LearntWait(
             SHORTEST_ATTEMPT_S,
             longest_attempt_s,
             learnt_wait.ANSWERS_BORNE,
         )
-        self._silent_at: dict[str, float] = {}
+        self._unanswered_at: dict[str, float] = {}
 
     @property
     def attempt_s(self) -> float:
-        """How long to wait for the answer of one VM, in seconds."""
-        return self._attempt.seconds
+        """Timeout of a call to one VM, in seconds."""
+        return self._attempt_timeout.seconds
 
     def worth_waiting_until(self, now: float) -> float:
-        """Returns until when a leader may be expected, monotonic."""
+        """Returns the monotonic time until which a call waits for a leader."""
         missed_at = now if self._missed_at is None else self._missed_at
-        return max(missed_at + ELECTION_WITHIN_S, now + ONE_ROUND_S)
+        return max(missed_at + ELECTION_WITHIN_S, now + MIN_WAIT_S)
 
     def is_silent(self, vm: str, now: float) -> bool:
-        """Returns whether a VM failed to answer just now."""
-        return now < self._silent_at.get(vm, -math.inf) + SILENT_S
+        """Returns whether a VM failed to answer within `RETRY_DELAY_S`."""
+        return now < self._unanswered_at.get(vm, -math.inf) + RETRY_DELAY_S
 
     def was_silent(self, vm: str) -> bool:
-        """Returns whether a VM has answered nothing since it failed to."""
-        return vm in self._silent_at
+        """Returns whether the last call to a VM was not answered."""
+        return vm in self._unanswered_at
 
     def answered(self, vm: str, asked_at: float, now: float) -> None:
-        """Notes that a VM answered as the leader."""
+        """Records that a VM answered as the leader."""
         self._missed_at = None
         self.heard(vm)
-        self._attempt.note(now, now - asked_at)
+        self._attempt_timeout.note(now, now - asked_at)
 
     def heard(self, vm: str) -> None:
-        """Notes that a VM answered, though it does not lead."""
-        self._silent_at.pop(vm, None)
+        """Records that a VM answered, whether or not it leads."""
+        self._unanswered_at.pop(vm, None)
 
     def unanswered(self, vm: str, now: float) -> None:
-        """Notes that a VM did not answer."""
-        self._silent_at[vm] = now
+        """Records that a VM did not answer."""
+        self._unanswered_at[vm] = now
 
     def missed(self, now: float) -> None:
-        """Notes that no leader was found."""
+        """Records that no leader was found."""
         if self._missed_at is None:
             self._missed_at = now
--- a/laburnumsill/consensus/voter_choice.py
+++ b/laburnumsill/consensus/voter_choice.py
@@ -1,31 +1,31 @@
-"""Who is to vote in a group whose VMs are not named in any settings."""
+"""Choice of the voters of a group whose VMs no settings file names."""
 
 import dataclasses
 from collections import abc
 
 REPLACE_AFTER_S = 1.5
-"""A voter that was silent for so long gives way to a spare VM. With the time to
-elect a leader before and to change the voters after, this has to stay below the
-4 s after which another VM may be lost. Whoever was only restarted comes back as
-a spare."""
+"""Silence after which a voter is replaced by a spare VM. Together with a leader
+election before it and the membership changes after it, this must stay below
+the 4 s after which another VM may be lost. A voter that only restarted returns
+as a spare."""
 
 PREPARE_AFTER_S = 0.5
-"""A spare VM learns the log as soon as a voter was silent for so long."""
+"""Silence of a voter after which a spare VM becomes a learner."""
 
-SPARE_FRESH_S = 2.0
-"""A spare counts as there if it was heard from within this time."""
+SPARE_TIMEOUT_S = 2.0
+"""A spare VM is available if it asked to join within this time."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VoterView:
-    """What a leader knows of the VMs that may vote.
+    """A leader's view of the VMs that are or could be voters.
 
     Attributes:
-        voters: The VMs of the present voters, the leader's too.
-        learners: The VMs of the present learners.
-        heard_at: When each VM was last heard from, monotonic.
-        asking: When each VM last asked to join, monotonic.
-        now: Monotonic.
+        voters: VMs of the current voters, including the leader.
+        learners: VMs of the current learners.
+        heard_at: Monotonic time of the last message of each VM.
+        asking: Monotonic time of the last request of each VM to join.
+        now: The current monotonic time.
     """
 
     voters: tuple[str, ...]
@@ -36,13 +36,13 @@
 
 
 class VoterChoice:
-    """Keeps a number of voters, of the VMs that are there.
+    """Chooses the voters and learners of a group among its live VMs.
 
-    A voter that is silent gives way only where a spare VM can take its
-    place; without a spare it stays, since fewer voters bear fewer losses.
+    A silent voter is removed only if a spare VM can replace it. Without a
+    spare it stays, because fewer voters tolerate fewer failures.
 
     Args:
-        wanted: How many voters there should be, odd.
+        wanted: Target number of voters, odd.
 
     Examples:
         >>> choice = VoterChoice(3)
@@ -56,11 +56,13 @@
         self._wanted = wanted
 
     def prepared(self, view: VoterView) -> tuple[str, ...]:
-        """Returns the VMs that are to learn the log, so as to vote at once.
+        """Returns the spare VMs that are to be learners.
 
-        There is one for each voter that was not heard from for a moment.
-        Those that learn it already go on: the next leader, who has heard
-        nobody for a while, would otherwise drop them when they are needed.
+        A learner already has the log and can become a voter at once. There
+        is one for each voter that has been silent for `PREPARE_AFTER_S`.
+        Learners stay, up to the number of tolerated failures: a new leader
+        starts without silent voters and would otherwise remove the learners
+        just before they are needed.
 
         Examples:
             >>> view = VoterView(("a", "b", "c"), (), {"b": 9.0, "c": 8.9},
@@ -68,13 +70,13 @@
             >>> VoterChoice(3).prepared(view)
             ('d',)
         """
-        quiet = sum(_silent(vm, view, PREPARE_AFTER_S) for vm in view.voters)
+        silent = sum(_silent(vm, view, PREPARE_AFTER_S) for vm in view.voters)
         tolerated = (self._wanted - 1) // 2
         learning = min(tolerated, len(view.learners))
-        return tuple(_spares(view)[: max(quiet, learning)])
+        return tuple(_spares(view)[: max(silent, learning)])
 
     def desired(self, view: VoterView) -> tuple[str, ...]:
-        """Returns the VMs that are to vote."""
+        """Returns the VMs that are to be voters."""
         kept = [vm for vm in view.voters if not _silent(vm, view)]
         lost = [vm for vm in view.voters if vm not in kept]
         spares = _spares(view)
@@ -84,15 +86,15 @@
 
 
 def _silent(vm: str, view: VoterView, after_s: float = REPLACE_AFTER_S) -> bool:
-    """Whether a voter's VM was not heard from, in any incarnation."""
-    heard = max(
+    """Returns whether a VM has sent nothing recently, in any incarnation."""
+    last_message_at = max(
         view.heard_at.get(vm, view.now), view.asking.get(vm, float("-inf"))
     )
-    return view.now - heard > after_s
+    return view.now - last_message_at > after_s
 
 
 def _spares(view: VoterView) -> list[str]:
-    """Returns the VMs that could vote, those that have the log first."""
+    """Returns the VMs that could become voters, learners first."""
     learning = [
         vm
         for vm in view.learners
@@ -100,9 +102,9 @@
     ]
     asking = [
         vm
-        for vm, at in sorted(view.asking.items())
+        for vm, asked_at in sorted(view.asking.items())
         if vm not in view.voters
         and vm not in learning
-        and view.now - at <= SPARE_FRESH_S
+        and view.now - asked_at <= SPARE_TIMEOUT_S
     ]
     return learning + asking
