--- a/laburnumsill/consensus/__init__.py
+++ b/laburnumsill/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""The Raft engine, the log store and the host of replica groups."""
+"""The Raft engine, the log store and the host of Raft groups."""
--- a/laburnumsill/consensus/election.py
+++ b/laburnumsill/consensus/election.py
@@ -1,4 +1,4 @@
-"""Campaigns, and who may be voted for."""
+"""Leader election: campaigns and the rules for granting votes."""
 
 import enum
 
@@ -8,24 +8,24 @@
 
 
 class Stage(enum.Enum):
-    """How far a campaign has got."""
+    """Stage of a campaign."""
 
     PRE_VOTE = "pre-vote"
-    """Asking whether a campaign could succeed, without a new term."""
+    """Asks whether a vote could succeed, without entering a new term."""
     VOTE = "vote"
-    """Asking for votes in a new term."""
+    """Requests votes in a new term."""
 
 
 class Campaign:
-    """One attempt of a replica to become leader.
+    """A candidate's attempt to become leader.
 
     The pre-vote keeps a replica that cannot win from disturbing a leader
     with a newer term.
 
     Attributes:
-        stage: How far it has got.
-        ordered: Whether the leader asked for it, so that no voter refuses
-            it because it still hears from that leader.
+        stage: Pre-vote or vote.
+        for_transfer: Whether the leader asked for the campaign by TIMEOUT_NOW,
+            so that voters do not refuse it although their leader is alive.
 
     References:
         D. Ongaro, "Consensus: bridging theory and practice", 2014,
@@ -33,22 +33,22 @@
     """
 
     def __init__(
-        self, replica: replica_module.Replica, stage: Stage, ordered: bool
+        self, replica: replica_module.Replica, stage: Stage, for_transfer: bool
     ) -> None:
         self.stage = stage
-        self.ordered = ordered
+        self.for_transfer = for_transfer
         self._replica = replica
-        self._granted = {replica.me}
+        self._supporters = {replica.me}
 
     @property
     def won(self) -> bool:
-        """Whether a majority of the voters supports it."""
+        """Whether a majority of the voters has granted its vote."""
         voters = self._replica.log.membership.voters
-        granted = sum(voter in self._granted for voter in voters)
+        granted = sum(voter in self._supporters for voter in voters)
         return granted >= membership.majority(self._replica.log.membership)
 
     def start(self) -> None:
-        """Enters the new term if this is the real vote; asks all voters."""
+        """Enters a new term in the vote stage; requests all other votes."""
         replica = self._replica
         term = replica.term + 1
         kind = types.MessageKind.PRE_VOTE
@@ -65,7 +65,7 @@
                 term=term,
                 index=replica.log.last_index,
                 log_term=replica.log.last_term,
-                granted=self.ordered,
+                granted=self.for_transfer,
             )
 
     def count(self, message: types.Message) -> None:
@@ -75,33 +75,40 @@
         if self.stage is Stage.VOTE:
             expected = types.MessageKind.VOTE_REPLY
             term = self._replica.term
-        timely = message.kind is expected and message.term == term
-        if timely and message.granted:
-            self._granted.add(message.source)
+        matches = message.kind is expected and message.term == term
+        if matches and message.granted:
+            self._supporters.add(message.source)
 
 
-def is_current(replica: replica_module.Replica, message: types.Message) -> bool:
-    """Returns whether a candidate's log is at least as new as ours.
+def is_up_to_date(
+    replica: replica_module.Replica, message: types.Message
+) -> bool:
+    """Returns whether a candidate's log is at least as up-to-date as ours.
 
-    A candidate whose log lacks a committed entry is refused by at least one
-    replica of each majority, because one of them holds that entry.
+    A candidate that lacks a committed entry is refused by at least one replica
+    of every majority, because every majority contains a holder of that entry.
     """
     own = (replica.log.last_term, replica.log.last_index)
     return (message.log_term, message.index) >= own
 
 
 def answer_pre_vote(
-    replica: replica_module.Replica, message: types.Message, led: bool
+    replica: replica_module.Replica,
+    message: types.Message,
+    has_live_leader: bool,
 ) -> None:
-    """Answers a pre-vote; nothing is promised by it.
+    """Answers a PRE_VOTE; granting it does not bind this replica.
 
     Args:
         replica: This replica.
         message: The PRE_VOTE.
-        led: Whether a leader was heard within the election timeout.
+        has_live_leader: Whether a leader sent a message within the election
+            timeout.
     """
     granted = (
-        message.term > replica.term and not led and is_current(replica, message)
+        message.term > replica.term
+        and not has_live_leader
+        and is_up_to_date(replica, message)
     )
     replica.send(
         types.MessageKind.PRE_VOTE_REPLY,
@@ -114,13 +121,13 @@
 def answer_vote(
     replica: replica_module.Replica, message: types.Message
 ) -> bool:
-    """Answers a vote of the present term; returns whether it was granted.
+    """Answers a VOTE of the current term; returns whether it was granted.
 
-    A replica that has no membership yet answers too: only a candidate whose
-    log names it as a voter asks it.
+    A replica without a membership answers too, because only candidates whose
+    log has it as a voter request its vote.
     """
-    free = replica.vote is None or replica.vote == message.source
-    granted = free and is_current(replica, message)
+    may_vote = replica.vote is None or replica.vote == message.source
+    granted = may_vote and is_up_to_date(replica, message)
     if granted:
         replica.vote_for(message.source)
     replica.send(types.MessageKind.VOTE_REPLY, message.source, granted=granted)
--- a/laburnumsill/consensus/engine.py
+++ b/laburnumsill/consensus/engine.py
@@ -1,4 +1,4 @@
-"""The consensus engine: one replica of one group, without any I/O."""
+"""The consensus engine: the Raft state machine of one replica, without I/O."""
 
 import random as random_module
 
@@ -38,23 +38,24 @@
 _FROM_CANDIDATE = frozenset(
     {types.MessageKind.PRE_VOTE, types.MessageKind.VOTE}
 )
-_NEEDS_A_VOTE = frozenset((*_FROM_CANDIDATE, types.MessageKind.TIMEOUT_NOW))
+_NEEDS_STORAGE = frozenset((*_FROM_CANDIDATE, types.MessageKind.TIMEOUT_NOW))
 _TO_CANDIDATE = frozenset(
     {types.MessageKind.PRE_VOTE_REPLY, types.MessageKind.VOTE_REPLY}
 )
 
 
 class Engine:
-    """One replica of a replicated log, after the Raft algorithm.
+    """One replica of a replicated log that follows the Raft algorithm.
 
-    The host passes in time, messages and proposals, takes the output and
-    carries it out in the order of its fields. After `Output.append` is
-    stored, and synced where there is a disk, it calls `synced`. The host
-    drops its whole stored log when it carries out `Output.install`.
+    The host passes in the time, messages and proposals, takes the output and
+    executes it in the order of its fields. After `Output.append` is stored,
+    and synced if the VM has a disk, the host calls `synced`. The host drops
+    its whole stored log when it executes `Output.install`.
 
     An entry is committed when a majority of the voters holds it and, if any
-    voter has a disk, at least one synced disk does. No leases are used: a
-    read waits until a majority has answered a heartbeat sent after it came.
+    voter has a disk, at least one synced disk holds it too. There are no
+    leader leases: a read waits until a majority has acknowledged a heartbeat
+    that was sent after the read arrived.
 
     Examples:
         >>> me = types.ReplicaId("a", "i1")
@@ -92,20 +93,22 @@
         )
         self._follower = following.Follower(self._replica)
         self._role = roles.Role(self._replica)
-        self._read_ids = 0
+        self._last_read_id = 0
 
     @staticmethod
     def found(
         group: str, me: types.ReplicaId, membership: types.Membership
     ) -> tuple[types.HardState, types.Entry]:
-        """Returns what the founder of a group stores before it starts.
+        """Returns the hard state and first entry of the founder of a group.
+
+        The founder stores both before its engine starts.
 
         Raises:
             InvalidMembershipError: `me` is not a voter of the membership.
         """
         if me not in membership.voters:
             raise InvalidMembershipError(
-                f"founder {me!r} of group {group} is not among"
+                f"founder {me!r} of group {group} is not a voter in"
                 f" {membership.voters!r}"
             )
         entry = types.Entry(
@@ -115,63 +118,63 @@
 
     @property
     def role(self) -> str:
-        """One of leader, candidate, follower and learner."""
+        """The role: leader, candidate, follower or learner."""
         return self._role.name
 
     @property
     def term(self) -> int:
-        """The newest term this replica has entered."""
+        """The current term."""
         return self._replica.term
 
     @property
     def leader(self) -> types.ReplicaId | None:
-        """The leader of the present term, as far as is known."""
+        """The leader of the current term, or None if unknown."""
         return self._role.leader
 
     @property
     def membership(self) -> types.Membership:
-        """The newest membership in the log; no voters if there is none."""
+        """The latest membership in the log; without voters if there is none."""
         return self._replica.log.membership
 
     @property
     def membership_index(self) -> int:
-        """Index of the entry that holds `membership`; 0 if none."""
+        """Index of the entry that holds `membership`; 0 if there is none."""
         return self._replica.log.membership_index
 
     @property
     def committed(self) -> int:
-        """The highest index known to be committed."""
+        """The commit index."""
         return self._replica.committed
 
     @property
     def durable(self) -> int:
-        """The highest index that its own store holds."""
+        """The highest index in the store of this replica."""
         return self._replica.durable
 
     @property
     def handed(self) -> int:
-        """The highest index handed out to be applied."""
-        return self._replica.handed
+        """The highest index delivered to the host for application."""
+        return self._replica.delivered
 
     @property
     def writable(self) -> bool:
-        """Whether its host can store anything, see `set_writable`."""
+        """Whether the host can store entries and votes, see `set_writable`."""
         return self._replica.writable
 
     @property
     def can_commit(self) -> bool:
-        """Whether this replica leads and enough voters can write."""
+        """Whether this replica is leader and enough voters can write."""
         leadership = self._role.leadership
         return leadership is not None and leadership.can_commit
 
     @property
     def leads_committed(self) -> bool:
-        """Whether it leads and an entry of its term is committed.
+        """Whether this replica leads and has committed an entry in its term.
 
-        Before that it answers no reads and changes no membership.
+        Until then a leader confirms no reads and changes no membership.
         """
         return self._role.leadership is not None and (
-            self._replica.leads_committed
+            self._replica.has_committed_in_term
         )
 
     @property
@@ -181,7 +184,7 @@
 
     @property
     def progress(self) -> dict[types.ReplicaId, progress_module.Progress]:
-        """What the leader knows of each other member; else empty."""
+        """Replication progress of each other member; empty unless leader."""
         return (
             dict(self._role.leadership.progress)
             if self._role.leadership
@@ -193,183 +196,203 @@
         return self._replica.log.term_at(index)
 
     def membership_at(self, index: int) -> types.Membership:
-        """Returns the membership to put into a snapshot at `index`."""
+        """Returns the membership in effect at `index`, for a snapshot there."""
         return self._replica.log.membership_at(index)
 
     def next_tick(self) -> float:
-        """Returns the monotonic point at which `tick` is needed."""
+        """Returns the monotonic time at which `tick` is due."""
         if self._role.leadership:
             return self._role.leadership.next_tick
-        return self._role.election_at
+        return self._role.election_deadline
 
     def set_writable(self, writable: bool) -> None:
-        """Notes whether the host can store anything.
+        """Sets whether the host can store entries and votes.
 
-        A replica that can not takes no entries, grants no votes and does not
-        campaign. It follows its leader, tells it so, and answers reads; if it
-        leads, it takes no proposals and hands its lead to a voter that can.
+        While it cannot, for instance because the disk is full, the replica
+        accepts no entries, grants no votes and does not campaign. It follows
+        its leader and reports to it that it cannot write. A leader that cannot
+        write refuses proposals, serves reads, and transfers leadership to a
+        voter that can write.
         """
         self._replica.writable = writable
 
     def tick(self, now: float) -> None:
-        """Does what has become due."""
+        """Handles timers that have expired at `now`."""
         self._replica.now = now
-        leadership = self._confirm_support(now)
+        leadership = self._check_quorum(now)
         if leadership:
             leadership.tick()
-        elif now >= self._role.election_at:
-            self._role.miss_leader()
+        elif now >= self._role.election_deadline:
+            self._role.on_election_timeout()
 
     def step(self, message: types.Message, now: float) -> None:
-        """Takes a message from another replica."""
+        """Handles a message from another replica."""
         self._replica.now = now
         if message.target != self._replica.me:
             return
-        if message.kind in _NEEDS_A_VOTE and not self.writable:
+        if message.kind in _NEEDS_STORAGE and not self.writable:
             return
-        if message.term > self.term and not self._role.meet_newer_term(message):
+        if message.term > self.term and not self._role.handle_newer_term(
+            message
+        ):
             return
         if message.kind in _FROM_CANDIDATE:
             self._role.answer_candidate(message)
         elif message.kind in _TO_CANDIDATE:
             self._role.count_vote(message)
         elif message.term < self.term:
-            self._correct(message)
+            self._reject_stale_leader(message)
         elif message.kind in _FROM_LEADER:
-            self._follow(message)
+            self._handle_leader_message(message)
         elif message.kind in _TO_LEADER:
-            self._take_reply(message)
+            self._handle_reply(message)
         elif message.kind is types.MessageKind.TIMEOUT_NOW:
-            self._role.start_campaign(election.Stage.VOTE, ordered=True)
+            self._role.start_campaign(election.Stage.VOTE, for_transfer=True)
 
     def propose(self, data: bytes, now: float) -> tuple[int, int]:
         """Appends a command; returns its index and term.
 
         Raises:
             NotLeaderError: This replica does not lead.
-            NoRoomError: Too many voters can not write.
+            NoRoomError: Too few voters can write.
         """
-        return self._led_now(now).propose(types.EntryKind.COMMAND, data)
+        return self._leadership_for_proposal(now).propose(
+            types.EntryKind.COMMAND, data
+        )
 
     def propose_membership(
         self, membership: types.Membership, now: float
     ) -> tuple[int, int]:
-        """Appends a change of the membership; returns its index and term.
+        """Appends a membership change; returns its index and term.
 
         Raises:
             NotLeaderError: This replica does not lead.
-            NoRoomError: Too many voters can not write.
-            MembershipPendingError: The last change is not committed.
-            InvalidMembershipError: More than one voter changes.
+            NoRoomError: Too few voters can write.
+            MembershipPendingError: The previous change, or the first entry
+                of this term, is not committed.
+            InvalidMembershipError: The change is not allowed, for instance
+                because more than one voter changes.
         """
-        place = self._led_now(now).propose_membership(membership)
-        self._advance()
-        return place
+        position = self._leadership_for_proposal(now).propose_membership(
+            membership
+        )
+        self._advance_commit_index()
+        return position
 
     def read(self, now: float) -> int:
-        """Begins a confirmed read; returns its id.
+        """Begins a linearizable read; returns its id.
 
         Raises:
             NotLeaderError: This replica does not lead.
         """
-        leadership = self._confirm_support(now)
+        leadership = self._check_quorum(now)
         if leadership is None:
             raise self._not_leader()
-        self._read_ids += 1
-        leadership.read(self._read_ids)
-        return self._read_ids
+        self._last_read_id += 1
+        leadership.read(self._last_read_id)
+        return self._last_read_id
 
     def transfer(self, vm: str, now: float) -> None:
-        """Begins to hand the lead to the voter on `vm`.
+        """Begins a leadership transfer to the voter on `vm`.
 
-        Until that voter leads, or an election timeout has passed, proposals
-        are refused.
+        Proposals are refused until that voter is leader or an election
+        timeout has passed.
 
         Raises:
-            NotLeaderError: This replica does not lead.
+            NotLeaderError: This replica does not lead, or a transfer is in
+                progress.
             NoSuchVoterError: There is no voter on `vm`.
         """
-        leadership = self._confirm_support(now)
+        leadership = self._check_quorum(now)
         if leadership is None or leadership.transferring:
             raise self._not_leader()
         leadership.transfer(vm)
 
     def synced(self, index: int, term: int | None = None) -> None:
-        """Notes that the entries up to `index` are stored.
+        """Records that the entries up to `index` are stored.
 
         Args:
             index: Index of the last entry stored.
-            term: Term of that entry; it tells whether the entry was replaced
-                meanwhile. A host that steps the engine between taking the
-                output and calling this must pass it.
+            term: Term of that entry, which shows whether the entry has been
+                replaced since. Required if the host steps the engine between
+                taking the output and this call.
         """
         replica = self._replica
         if term is not None and replica.log.term_at(index) != term:
             return
         index = min(index, replica.log.last_index)
         replica.durable = max(replica.durable, index)
-        self._advance()
+        self._advance_commit_index()
 
     def compact(self, snapshot: types.Snapshot) -> None:
-        """Takes a snapshot of the state applied up to an index.
+        """Compacts the log with a snapshot of the applied state.
 
         Args:
-            snapshot: At an index that was handed out and applied; its
-                membership is `membership_at` of that index.
+            snapshot: A snapshot at an index that was delivered and applied;
+                its membership is `membership_at` of that index.
 
         Raises:
-            LogBrokenError: The index was not handed out.
+            LogBrokenError: The index was not delivered.
         """
         replica = self._replica
-        known = replica.log.snapshot
-        if known and snapshot.index <= known.index:
+        previous = replica.log.snapshot
+        if previous and snapshot.index <= previous.index:
             return
-        if snapshot.index > replica.handed:
+        if snapshot.index > replica.delivered:
             raise LogBrokenError(
-                f"snapshot at {snapshot.index}, applied to {replica.handed}"
+                f"snapshot at {snapshot.index} but delivered"
+                f" to {replica.delivered}"
             )
-        kept = replica.options.kept_bytes
+        retained_bytes = replica.options.kept_bytes
         if self._role.leadership:
-            kept = self._role.leadership.kept_bytes()
-        replica.log.compact(snapshot, kept)
+            retained_bytes = self._role.leadership.kept_bytes()
+        replica.log.compact(snapshot, retained_bytes)
 
     def take_output(self) -> types.Output:
-        """Returns what the host has to carry out, and empties it."""
+        """Returns the pending output and clears it."""
         if self._role.leadership:
             self._role.leadership.flush()
         return self._replica.take_output()
 
-    def _led_now(self, now: float) -> leading.Leadership:
-        """Returns the leadership, if proposals may be added to it."""
-        leadership = self._confirm_support(now)
+    def _leadership_for_proposal(self, now: float) -> leading.Leadership:
+        """Returns the leader state if this replica accepts proposals.
+
+        Raises:
+            NotLeaderError: This replica does not lead, or it is about to
+                transfer leadership.
+            NoRoomError: Too few voters can write.
+        """
+        leadership = self._check_quorum(now)
         if leadership is None or leadership.transferring:
             raise self._not_leader()
         if leadership.can_commit:
             return leadership
-        if leadership.successors:
+        if leadership.transfer_targets:
             raise self._not_leader()
-        raise NoRoomError(f"too many disks of {self._replica.group} are full")
+        raise NoRoomError(
+            f"too few voters of group {self._replica.group} can write"
+        )
 
-    def _confirm_support(self, now: float) -> leading.Leadership | None:
+    def _check_quorum(self, now: float) -> leading.Leadership | None:
         self._replica.now = now
-        return self._role.confirm_support()
+        return self._role.check_quorum()
 
     def _not_leader(self) -> NotLeaderError:
-        other = self._role.leader
-        if other == self._replica.me:
-            other = None
+        known_leader = self._role.leader
+        if known_leader == self._replica.me:
+            known_leader = None
         return NotLeaderError(
             f"{self._replica.me.vm} does not lead {self._replica.group}",
-            leader=other.vm if other else None,
+            leader=known_leader.vm if known_leader else None,
         )
 
-    def _correct(self, message: types.Message) -> None:
-        """Tells a leader of an older term that it leads no more."""
+    def _reject_stale_leader(self, message: types.Message) -> None:
+        """Replies to a leader of an older term with the current term."""
         if message.kind in _FROM_LEADER:
             self._replica.send(types.MessageKind.APPEND_REPLY, message.source)
 
-    def _follow(self, message: types.Message) -> None:
-        self._role.hear(message.source)
+    def _handle_leader_message(self, message: types.Message) -> None:
+        self._role.follow(message.source)
         if message.kind is types.MessageKind.HEARTBEAT:
             self._follower.on_heartbeat(message)
         elif not self.writable:
@@ -379,12 +402,12 @@
         else:
             self._follower.on_snapshot(message)
 
-    def _take_reply(self, message: types.Message) -> None:
+    def _handle_reply(self, message: types.Message) -> None:
         if self._role.leadership:
             self._role.leadership.on_reply(message)
-            self._role.leave_if_removed()
+            self._role.resign_if_removed()
 
-    def _advance(self) -> None:
+    def _advance_commit_index(self) -> None:
         if self._role.leadership:
-            self._role.leadership.advance()
-            self._role.leave_if_removed()
+            self._role.leadership.advance_commit_index()
+            self._role.resign_if_removed()
--- a/laburnumsill/consensus/following.py
+++ b/laburnumsill/consensus/following.py
@@ -1,4 +1,4 @@
-"""How a replica takes entries and snapshots from a leader."""
+"""Follower state: receives entries, heartbeats and snapshots of a leader."""
 
 from laburnumsill.consensus import replica as replica_module
 from laburnumsill.consensus import snapshot_receiver
@@ -6,27 +6,30 @@
 
 
 class Follower:
-    """Answers the messages of the present term's leader."""
+    """Handles the messages of the leader of the current term."""
 
     def __init__(self, replica: replica_module.Replica) -> None:
         self._replica = replica
         self._receiver = snapshot_receiver.SnapshotReceiver()
 
     def on_append(self, message: types.Message) -> None:
-        """Takes entries that follow on from this log, or refuses them."""
+        """Appends entries if the logs match before them, else rejects them."""
         replica = self._replica
         if message.index < replica.committed:
-            message = self._without_committed(message)
+            message = self._strip_committed(message)
         if replica.log.term_at(message.index) != message.log_term:
-            self._refuse(message)
+            self._reject(message)
             return
-        self._merge(message.entries)
+        self._append_new(message.entries)
         match = message.index + len(message.entries)
         replica.commit_to(min(message.commit, match))
         self._accept(message.source, match)
 
     def on_heartbeat(self, message: types.Message) -> None:
-        """Notes the commit index, which the leader knows to be held here."""
+        """Acknowledges a heartbeat and advances the commit index.
+
+        The leader sends no commit index beyond this replica's match index.
+        """
         replica = self._replica
         replica.commit_to(min(message.commit, replica.log.last_index))
         replica.send(
@@ -37,13 +40,13 @@
         )
 
     def on_snapshot(self, message: types.Message) -> None:
-        """Takes a chunk; installs the snapshot once it is whole."""
+        """Receives a chunk; installs the snapshot once it is complete."""
         replica = self._replica
         if message.index <= replica.committed:
             self._accept(message.source, replica.committed)
             return
-        whole = self._receiver.add(message)
-        if whole is None:
+        snapshot = self._receiver.add(message)
+        if snapshot is None:
             replica.send(
                 types.MessageKind.SNAPSHOT_REPLY,
                 message.source,
@@ -51,19 +54,24 @@
                 offset=self._receiver.received,
             )
             return
-        if replica.log.term_at(whole.index) == whole.term:
-            replica.commit_to(whole.index)
+        if replica.log.term_at(snapshot.index) == snapshot.term:
+            replica.commit_to(snapshot.index)
         else:
-            replica.install(whole)
-        self._accept(message.source, whole.index)
+            replica.install(snapshot)
+        self._accept(message.source, snapshot.index)
+
+    def _strip_committed(self, message: types.Message) -> types.Message:
+        """Returns an APPEND without the entries that are committed here.
 
-    def _without_committed(self, message: types.Message) -> types.Message:
-        """Cuts off what is committed here; it must be equal in both logs."""
+        Raises:
+            engine_errors.LogBrokenError: A stripped entry conflicts with the
+                committed one.
+        """
         replica = self._replica
         skipped = replica.committed - message.index
         for entry in message.entries[:skipped]:
-            known = replica.log.term_at(entry.index)
-            if known not in (None, entry.term):
+            known_term = replica.log.term_at(entry.index)
+            if known_term not in (None, entry.term):
                 replica.truncate_from(entry.index)
         return types.Message(
             message.kind,
@@ -76,13 +84,13 @@
             entries=message.entries[skipped:],
         )
 
-    def _merge(self, entries: tuple[types.Entry, ...]) -> None:
+    def _append_new(self, entries: tuple[types.Entry, ...]) -> None:
         log = self._replica.log
         for entry in entries:
-            present = log.term_at(entry.index)
-            if present == entry.term:
+            known_term = log.term_at(entry.index)
+            if known_term == entry.term:
                 continue
-            if present is not None:
+            if known_term is not None:
                 self._replica.truncate_from(entry.index)
             self._replica.append(entry)
 
@@ -95,7 +103,7 @@
             synced=match if self._replica.has_disk else 0,
         )
 
-    def _refuse(self, message: types.Message) -> None:
+    def _reject(self, message: types.Message) -> None:
         log = self._replica.log
         hint = log.last_at_term(message.index, message.log_term)
         self._replica.send(
--- a/laburnumsill/consensus/leading.py
+++ b/laburnumsill/consensus/leading.py
@@ -1,4 +1,4 @@
-"""What a replica does while it leads."""
+"""Leader state: replication, commit index, reads, leadership transfer."""
 
 from laburnumsill.consensus import engine_errors
 from laburnumsill.consensus import membership as membership_module
@@ -11,13 +11,13 @@
 
 
 class Leadership:
-    """One replica's lead in one term.
+    """Leader state of one replica in one term.
 
-    Messages with entries are made when the output is taken, so that all
-    proposals of one turn of the host's loop share them.
+    APPEND messages are built when the output is taken, so that all
+    proposals of one iteration of the host's loop are batched.
 
     Attributes:
-        progress: What is known of each other member.
+        progress: Replication progress of each other member.
     """
 
     def __init__(self, replica: replica_module.Replica) -> None:
@@ -27,68 +27,71 @@
         self._heartbeat_at = replica.now
         self._transfer_to: types.ReplicaId | None = None
         self._transfer_deadline = replica.now
-        self._transfer_ordered = False
-        self._match_members()
+        self._timeout_now_sent = False
+        self._update_members()
         self._append(types.EntryKind.EMPTY, b"")
 
     @property
     def transferring(self) -> bool:
-        """Whether the lead is being handed over."""
+        """Whether a leadership transfer is in progress."""
         return self._transfer_to is not None
 
     @property
     def removed(self) -> bool:
-        """Whether a committed membership leaves this replica out."""
+        """Whether a committed membership excludes this replica as a voter."""
         replica = self._replica
         return (
-            not replica.votes
+            not replica.is_voter
             and replica.log.membership_index <= replica.committed
         )
 
     @property
-    def supported(self) -> bool:
-        """Whether a majority was heard within the election timeout."""
-        return self._replica.now < self._support_deadline
+    def has_quorum(self) -> bool:
+        """Whether a majority has replied within the election timeout."""
+        return self._replica.now < self._quorum_deadline
 
     @property
     def can_commit(self) -> bool:
         """Whether this leader and enough other voters can write.
 
-        Who is silent counts as unable only where some voter's disk is full;
-        else a majority's silence ends the lead.
+        Unreachable voters count as unable to write only if some member has
+        reported that it cannot write. Otherwise it is left to the quorum check
+        to end the leadership if a majority is unreachable.
         """
         replica = self._replica
         if not replica.writable:
             return False
-        if all(one.writable for one in self.progress.values()):
+        if all(member.writable for member in self.progress.values()):
             return True
         membership = replica.log.membership
-        able = membership_module.committable(
-            membership, self._able, self._able_to_sync
+        index = membership_module.committable_index(
+            membership, self._is_writable, self._can_sync
         )
-        return bool(able)
+        return bool(index)
 
     @property
-    def successors(self) -> list[types.ReplicaId]:
-        """The other voters that can write; none if they elect nobody."""
+    def transfer_targets(self) -> list[types.ReplicaId]:
+        """Other voters that can write; empty without a writable majority."""
         membership = self._replica.log.membership
-        able = [one for one in membership.voters if self._able(one)]
-        if len(able) < membership_module.majority(membership):
+        writable = [
+            member for member in membership.voters if self._is_writable(member)
+        ]
+        if len(writable) < membership_module.majority(membership):
             return []
-        return [one for one in able if one != self._replica.me]
+        return [member for member in writable if member != self._replica.me]
 
     @property
     def next_tick(self) -> float:
-        """When `tick` is needed."""
-        return min(self._heartbeat_at, self._support_deadline)
+        """Monotonic time at which `tick` is due."""
+        return min(self._heartbeat_at, self._quorum_deadline)
 
     @property
-    def _support_deadline(self) -> float:
+    def _quorum_deadline(self) -> float:
         replica = self._replica
-        heard = membership_module.reached_by_majority(
+        heard_at = membership_module.reached_by_majority(
             replica.log.membership, self._heard_at
         )
-        return heard + replica.options.election_timeout_s
+        return heard_at + replica.options.election_timeout_s
 
     def propose(self, kind: types.EntryKind, data: bytes) -> tuple[int, int]:
         """Appends an entry; returns its index and term."""
@@ -97,42 +100,42 @@
     def propose_membership(
         self, membership: types.Membership
     ) -> tuple[int, int]:
-        """Appends a change of the membership, which holds from now on.
+        """Appends a membership change, which takes effect at once.
 
         Raises:
-            engine_errors.MembershipPendingError: The last change, or the
-                first entry of this term, is not committed.
-            engine_errors.InvalidMembershipError: It may not follow.
+            engine_errors.MembershipPendingError: The previous change,
+                or the first entry of this term, is not committed.
+            engine_errors.InvalidMembershipError: The change is not allowed.
         """
         replica = self._replica
         pending = replica.log.membership_index > replica.committed
-        if pending or not replica.leads_committed:
+        if pending or not replica.has_committed_in_term:
             raise engine_errors.MembershipPendingError(
                 f"entry {replica.log.membership_index} is not committed",
                 index=replica.log.membership_index,
             )
         membership_module.check_change(replica.log.membership, membership)
-        place = self._append(
+        position = self._append(
             types.EntryKind.MEMBERSHIP, codec.encode(membership)
         )
-        self._match_members()
-        return place
+        self._update_members()
+        return position
 
     def read(self, read_id: int) -> None:
         """Adds a read to the next heartbeat round."""
         self._reads.add(read_id)
 
     def transfer(self, vm: str) -> None:
-        """Begins to hand the lead to the voter on `vm`.
+        """Begins a leadership transfer to the voter on `vm`.
 
         Raises:
-            engine_errors.NoSuchVoterError: There is none.
+            engine_errors.NoSuchVoterError: There is no voter on `vm`.
         """
         replica = self._replica
         for voter in replica.log.membership.voters:
             if voter.vm == vm and voter != replica.me:
                 self._transfer_to = voter
-                self._transfer_ordered = False
+                self._timeout_now_sent = False
                 self._transfer_deadline = (
                     replica.now + replica.options.election_timeout_s
                 )
@@ -143,7 +146,7 @@
             )
 
     def tick(self) -> None:
-        """Sends heartbeats and repeats what was lost, when due."""
+        """Sends heartbeats when due, and aborts an expired transfer."""
         replica = self._replica
         if self.transferring and replica.now >= self._transfer_deadline:
             self._transfer_to = None
@@ -152,7 +155,7 @@
             self._send_heartbeats()
 
     def on_reply(self, message: types.Message) -> None:
-        """Takes any reply of a member; others are ignored."""
+        """Handles a reply of a member; ignores replies of other replicas."""
         progress = self.progress.get(message.source)
         if progress is None:
             return
@@ -161,21 +164,21 @@
             self._on_append_reply(progress, message)
         elif message.kind is types.MessageKind.HEARTBEAT_REPLY:
             progress.round = max(progress.round, message.round)
-            progress.note_writable(not message.full)
+            progress.on_writable(not message.full)
             self._confirm_reads()
         elif message.kind is types.MessageKind.SNAPSHOT_REPLY:
-            progress.accept_chunk(message.index, message.offset)
+            progress.on_chunk_accepted(message.index, message.offset)
 
-    def advance(self) -> None:
-        """Commits what may be committed.
+    def advance_commit_index(self) -> None:
+        """Advances the commit index as far as the voters' logs allow.
 
-        Only an entry of the present term is counted; those before it are
-        committed with it, since an entry of an older term on a majority
-        may still be replaced.
+        Only entries of the current term are committed by counting replicas;
+        earlier entries are committed with them, since an entry of an older
+        term that a majority holds may still be replaced.
         """
         replica = self._replica
-        index = membership_module.committable(
-            replica.log.membership, self._held, self._synced
+        index = membership_module.committable_index(
+            replica.log.membership, self._match_index, self._synced_index
         )
         if index <= replica.committed:
             return
@@ -183,34 +186,41 @@
             replica.commit_to(index)
 
     def flush(self) -> None:
-        """Sends everything that flow control lets go."""
-        self._begin_reads()
+        """Sends everything that flow control permits."""
+        self._start_read_round()
         for member, progress in self.progress.items():
             while self._send_next(member, progress):
                 pass
-        self._yield_if_full()
-        self._order_transfer()
+        self._transfer_if_unwritable()
+        self._send_timeout_now()
 
-    def resign(self) -> None:
-        """Fails the reads that wait."""
-        self._replica.lose_reads(self._reads.drain())
+    def fail_pending_reads(self) -> None:
+        """Fails all pending reads."""
+        self._replica.fail_reads(self._reads.drain())
 
-    def hand_over(self) -> None:
-        """Asks the best voter to campaign at once.
+    def transfer_to_best_voter(self) -> None:
+        """Sends TIMEOUT_NOW to the best candidate among the voters.
 
-        That is the one that is furthest on, of those that can write.
+        Voters that can write come first, then those with the highest match
+        index.
         """
         voters = self._replica.log.membership.voters
-        best = max(voters, key=lambda one: (self._able(one), self._held(one)))
+        best = max(
+            voters,
+            key=lambda member: (
+                self._is_writable(member),
+                self._match_index(member),
+            ),
+        )
         self._send_heartbeats()
         self._replica.send(types.MessageKind.TIMEOUT_NOW, best)
 
     def kept_bytes(self) -> int:
-        """Returns how many entry bytes to keep behind a snapshot."""
+        """Returns the number of entry bytes to retain behind a snapshot."""
         options = self._replica.options
         sending = any(
-            one.mode is progress_module.Mode.SNAPSHOT
-            for one in self.progress.values()
+            member.mode is progress_module.Mode.SNAPSHOT
+            for member in self.progress.values()
         )
         return options.max_kept_bytes if sending else options.kept_bytes
 
@@ -220,12 +230,12 @@
         replica.append(types.Entry(index, replica.term, kind, data))
         return index, replica.term
 
-    def _match_members(self) -> None:
+    def _update_members(self) -> None:
         replica = self._replica
-        everyone = membership_module.members(replica.log.membership)
-        for gone in self.progress.keys() - set(everyone):
-            del self.progress[gone]
-        for member in everyone:
+        all_members = membership_module.members(replica.log.membership)
+        for removed_member in self.progress.keys() - set(all_members):
+            del self.progress[removed_member]
+        for member in all_members:
             if member != replica.me and member not in self.progress:
                 self.progress[member] = progress_module.Progress(
                     replica.log.last_index + 1, replica.now, replica.options
@@ -236,33 +246,35 @@
             return self._replica.now
         return self.progress[voter].heard_at
 
-    def _able(self, voter: types.ReplicaId) -> bool:
-        """Whether a voter is there and said that it can write."""
+    def _is_writable(self, voter: types.ReplicaId) -> bool:
+        """Returns whether a voter is reachable and able to write."""
         replica = self._replica
         if voter == replica.me:
             return replica.writable
         progress = self.progress[voter]
-        silent_at = progress.heard_at + replica.options.election_timeout_s
-        return progress.writable and replica.now < silent_at
-
-    def _able_to_sync(self, voter: types.ReplicaId) -> bool:
-        """Whether a voter that can write has a disk, as far as is known."""
-        marked = voter.vm in self._replica.log.membership.with_disk
-        return self._able(voter) and (marked or self._synced(voter) > 0)
+        unreachable_at = progress.heard_at + replica.options.election_timeout_s
+        return progress.writable and replica.now < unreachable_at
+
+    def _can_sync(self, voter: types.ReplicaId) -> bool:
+        """Returns whether a voter can write and is known to have a disk."""
+        has_disk = voter.vm in self._replica.log.membership.with_disk
+        return self._is_writable(voter) and (
+            has_disk or self._synced_index(voter) > 0
+        )
 
-    def _held(self, voter: types.ReplicaId) -> int:
+    def _match_index(self, voter: types.ReplicaId) -> int:
         if voter == self._replica.me:
             return self._replica.durable
         return self.progress[voter].match
 
-    def _synced(self, voter: types.ReplicaId) -> int:
+    def _synced_index(self, voter: types.ReplicaId) -> int:
         if voter == self._replica.me:
             return self._replica.durable if self._replica.has_disk else 0
         return self.progress[voter].synced
 
-    def _round(self, voter: types.ReplicaId) -> int:
+    def _acked_round(self, voter: types.ReplicaId) -> int:
         if voter == self._replica.me:
-            return self._reads.number
+            return self._reads.newest_round
         return self.progress[voter].round
 
     def _on_append_reply(
@@ -270,36 +282,41 @@
     ) -> None:
         log = self._replica.log
         if message.granted:
-            progress.accept(message.index, message.synced, self._replica.now)
-            self.advance()
+            progress.on_append_accepted(
+                message.index, message.synced, self._replica.now
+            )
+            self.advance_commit_index()
             return
-        agreed = log.last_at_term(message.hint, message.log_term)
-        progress.refuse(message.index, agreed)
-
-    def _begin_reads(self) -> None:
-        if not self._reads.waiting or not self._replica.leads_committed:
+        match_hint = log.last_at_term(message.hint, message.log_term)
+        progress.on_append_rejected(message.index, match_hint)
+
+    def _start_read_round(self) -> None:
+        if (
+            not self._reads.has_new_reads
+            or not self._replica.has_committed_in_term
+        ):
             return
-        self._reads.begin_round(self._replica.committed)
+        self._reads.start_round(self._replica.committed)
         self._send_heartbeats()
         self._confirm_reads()
 
     def _confirm_reads(self) -> None:
-        number = membership_module.reached_by_majority(
-            self._replica.log.membership, self._round
+        confirmed_round = membership_module.reached_by_majority(
+            self._replica.log.membership, self._acked_round
         )
-        self._replica.confirm_reads(self._reads.confirm(number))
+        self._replica.confirm_reads(self._reads.confirm(confirmed_round))
 
     def _send_heartbeats(self) -> None:
-        """Sends a round of heartbeats, and repeats what went unanswered.
+        """Sends a round of heartbeats and retransmits stalled messages.
 
-        Reads begin rounds too; what was lost must not have to wait for a pause
-        between them. They don't put the regular round off: gaps between those
-        of nearly two periods taught followers to miss their leader after
-        0.56 s in place of 0.3 s.
+        Reads start rounds too, so retransmission is not left to the periodic
+        rounds. A round for reads does not postpone the next periodic one:
+        that left gaps of nearly two heartbeat periods, from which followers
+        derived an election timeout of 0.56 s instead of 0.3 s.
         """
         replica = self._replica
         for progress in self.progress.values():
-            if progress.stalled(replica.now):
+            if progress.is_stalled(replica.now):
                 progress.retry()
         for member, progress in self.progress.items():
             commit = min(progress.match, replica.committed)
@@ -308,13 +325,16 @@
                 types.MessageKind.HEARTBEAT,
                 member,
                 commit=commit,
-                round=self._reads.number,
+                round=self._reads.newest_round,
             )
 
     def _send_next(
         self, member: types.ReplicaId, progress: progress_module.Progress
     ) -> bool:
-        """Sends one message if there is one to send; returns whether."""
+        """Sends the next message to a member, if any.
+
+        Returns whether more entries remain to be sent to the member.
+        """
         if not progress.may_send:
             return False
         if progress.mode is progress_module.Mode.SNAPSHOT:
@@ -326,10 +346,10 @@
             self._send_chunk(member, progress)
             return False
         probing = progress.mode is progress_module.Mode.PROBE
-        news = progress.idle and progress.sent_commit < min(
+        commit_unsent = progress.idle and progress.sent_commit < min(
             progress.match, self._replica.committed
         )
-        if progress.next > log.last_index and not probing and not news:
+        if progress.next > log.last_index and not probing and not commit_unsent:
             return False
         self._send_append(member, progress)
         return progress.next <= log.last_index
@@ -338,20 +358,20 @@
         self, member: types.ReplicaId, progress: progress_module.Progress
     ) -> None:
         replica = self._replica
-        before = progress.next - 1
+        previous = progress.next - 1
         entries = replica.log.batch(
             progress.next, replica.options.max_append_bytes
         )
         replica.send(
             types.MessageKind.APPEND,
             member,
-            index=before,
-            log_term=replica.log.term_at(before) or 0,
+            index=previous,
+            log_term=replica.log.term_at(previous) or 0,
             commit=replica.committed,
             entries=entries,
         )
-        progress.sent_commit = min(replica.committed, before + len(entries))
-        progress.sent(entries, replica.now)
+        progress.sent_commit = min(replica.committed, previous + len(entries))
+        progress.on_append_sent(entries, replica.now)
 
     def _send_chunk(
         self, member: types.ReplicaId, progress: progress_module.Progress
@@ -373,25 +393,30 @@
             data=snapshot.data[progress.offset : end],
             last=last,
         )
-        progress.sent_chunk(replica.now)
+        progress.on_chunk_sent(replica.now)
+
+    def _transfer_if_unwritable(self) -> None:
+        """Begins a leadership transfer while this leader cannot write.
 
-    def _yield_if_full(self) -> None:
-        """Begins to hand over, again and again, while it can not write."""
+        A transfer that failed is started again at the next call.
+        """
         if self._replica.writable:
             return
-        successors = self.successors
-        if not successors:
+        transfer_targets = self.transfer_targets
+        if not transfer_targets:
             self._transfer_to = None
         elif not self.transferring:
-            self.transfer(max(successors, key=self._held).vm)
+            self.transfer(max(transfer_targets, key=self._match_index).vm)
 
-    def _order_transfer(self) -> None:
+    def _send_timeout_now(self) -> None:
         target = self._transfer_to
-        if target is None or self._transfer_ordered:
+        if target is None or self._timeout_now_sent:
             return
         replica = self._replica
         if not replica.writable and replica.committed < replica.log.last_index:
-            return  # that the others commit it shows that they can vote
-        if self._held(target) == self._replica.log.last_index:
+            # Committing the whole log shows that the other voters can write,
+            # which granting a vote requires too.
+            return
+        if self._match_index(target) == self._replica.log.last_index:
             self._replica.send(types.MessageKind.TIMEOUT_NOW, target)
-            self._transfer_ordered = True
+            self._timeout_now_sent = True
--- a/laburnumsill/consensus/log.py
+++ b/laburnumsill/consensus/log.py
@@ -1,4 +1,4 @@
-"""The replicated log as one replica holds it in memory."""
+"""The in-memory copy of the replicated log."""
 
 import bisect
 
@@ -7,16 +7,21 @@
 from laburnumsill.core import codec
 
 NO_MEMBERSHIP = types.Membership(())
-"""What a replica goes by that has not received any membership yet."""
+"""The membership of a replica that has not received one yet."""
 
 
 class Log:
-    """Entries after a base position, and the last snapshot.
+    """Log entries after a base position, and the latest snapshot.
 
-    The base is the snapshot's position or an earlier one, because some
-    entries are kept behind a snapshot for followers that are slightly late.
-    Memberships take effect as soon as they are in the log, and cease to when
-    they are replaced.
+    The base is at the snapshot's index or before it, because some entries are
+    retained behind a snapshot for followers that lag slightly. A membership
+    takes effect as soon as its entry is in the log, and is undone if that
+    entry is replaced.
+
+    Attributes:
+        snapshot: The latest snapshot, or None.
+        base_index: Index of the last entry that is not held any more.
+        base_term: Term of that entry.
 
     Examples:
         >>> log = Log(None, ())
@@ -34,9 +39,9 @@
         self.base_index = snapshot.index if snapshot else 0
         self.base_term = snapshot.term if snapshot else 0
         self._entries: list[types.Entry] = []
-        self._changes: list[tuple[int, types.Membership]] = []
+        self._memberships: list[tuple[int, types.Membership]] = []
         if snapshot:
-            self._changes.append((snapshot.index, snapshot.membership))
+            self._memberships.append((snapshot.index, snapshot.membership))
         for entry in entries:
             if entry.index > self.base_index:
                 self.append(entry)
@@ -53,32 +58,32 @@
 
     @property
     def membership(self) -> types.Membership:
-        """The newest membership, committed or not."""
-        return self._changes[-1][1] if self._changes else NO_MEMBERSHIP
+        """The latest membership, committed or not."""
+        return self._memberships[-1][1] if self._memberships else NO_MEMBERSHIP
 
     @property
     def membership_index(self) -> int:
-        """Index of the newest membership's entry; 0 if there is none."""
-        return self._changes[-1][0] if self._changes else 0
+        """Index of the latest membership's entry; 0 if there is none."""
+        return self._memberships[-1][0] if self._memberships else 0
 
     def membership_at(self, index: int) -> types.Membership:
         """Returns the membership in effect once `index` is the last entry."""
         position = bisect.bisect_right(
-            self._changes, index, key=lambda change: change[0]
+            self._memberships, index, key=lambda entry: entry[0]
         )
-        return self._changes[position - 1][1] if position else NO_MEMBERSHIP
+        return self._memberships[position - 1][1] if position else NO_MEMBERSHIP
 
-    def voted_since(self, index: int, replica: types.ReplicaId) -> bool:
-        """Returns whether the membership at `index` or a later one has it.
+    def is_voter_since(self, index: int, replica: types.ReplicaId) -> bool:
+        """Returns whether a replica is a voter at `index` or later.
 
         Args:
             index: An index of the log.
-            replica: The replica looked for among the voters.
+            replica: The replica to find in the memberships.
         """
         return replica in self.membership_at(index).voters or any(
             replica in membership.voters
-            for changed, membership in self._changes
-            if changed > index
+            for changed_at, membership in self._memberships
+            if changed_at > index
         )
 
     def term_at(self, index: int) -> int | None:
@@ -90,21 +95,24 @@
         return None
 
     def last_at_term(self, index: int, term: int) -> int:
-        """Returns the last index, at most `index`, of at most `term`."""
+        """Returns the highest index whose term is at most `term`.
+
+        The result is at most `index` and at least `base_index`.
+        """
         index = min(index, self.last_index)
         while index > self.base_index and (self.term_at(index) or 0) > term:
             index -= 1
         return index
 
     def between(self, first: int, last: int) -> tuple[types.Entry, ...]:
-        """Returns the entries from `first` to `last`, both included."""
+        """Returns the entries from `first` to `last`, both inclusive."""
         start = first - self.base_index - 1
         return tuple(self._entries[start : last - self.base_index])
 
     def batch(self, first: int, max_bytes: int) -> tuple[types.Entry, ...]:
-        """Returns entries from `first` on that fit in `max_bytes`.
+        """Returns the entries from `first` on that fit in `max_bytes`.
 
-        At least one entry is returned if there is one.
+        The first entry is returned even if it is larger.
         """
         size = 0
         end = first - self.base_index - 1
@@ -116,31 +124,31 @@
         return tuple(self._entries[first - self.base_index - 1 : end])
 
     def append(self, entry: types.Entry) -> None:
-        """Adds an entry at the end.
+        """Appends an entry.
 
         Raises:
             engine_errors.LogBrokenError: `entry` leaves a gap.
         """
         if entry.index != self.last_index + 1:
             raise engine_errors.LogBrokenError(
-                f"entry {entry.index} cannot follow {self.last_index}"
+                f"entry {entry.index} does not follow entry {self.last_index}"
             )
         self._entries.append(entry)
         if entry.kind is types.EntryKind.MEMBERSHIP:
-            self._changes.append((entry.index, codec.decode(entry.data)))
+            self._memberships.append((entry.index, codec.decode(entry.data)))
 
     def truncate_from(self, index: int) -> None:
-        """Removes the entry at `index` and all after it."""
+        """Removes the entry at `index` and all later ones."""
         del self._entries[index - self.base_index - 1 :]
-        while self._changes and self._changes[-1][0] >= index:
-            self._changes.pop()
+        while self._memberships and self._memberships[-1][0] >= index:
+            self._memberships.pop()
 
     def compact(self, snapshot: types.Snapshot, kept_bytes: int) -> None:
-        """Takes a snapshot of applied entries and drops what it covers.
+        """Drops the entries that a snapshot covers, except the last ones.
 
         Args:
-            snapshot: At an index that the log still holds.
-            kept_bytes: Entry bytes to keep behind the snapshot.
+            snapshot: A snapshot at an index that the log still holds.
+            kept_bytes: Entry bytes to retain behind the snapshot.
         """
         self.snapshot = snapshot
         base = snapshot.index
@@ -154,13 +162,13 @@
         del self._entries[: base - self.base_index]
         self.base_index = base
         self.base_term = term or 0
-        while len(self._changes) > 1 and self._changes[1][0] <= base:
-            del self._changes[0]
+        while len(self._memberships) > 1 and self._memberships[1][0] <= base:
+            del self._memberships[0]
 
     def reset(self, snapshot: types.Snapshot) -> None:
-        """Replaces everything by a snapshot."""
+        """Replaces the whole log by a snapshot."""
         self.snapshot = snapshot
         self.base_index = snapshot.index
         self.base_term = snapshot.term
         self._entries.clear()
-        self._changes = [(snapshot.index, snapshot.membership)]
+        self._memberships = [(snapshot.index, snapshot.membership)]
--- a/laburnumsill/consensus/membership.py
+++ b/laburnumsill/consensus/membership.py
@@ -1,4 +1,4 @@
-"""Rules about the make-up of a group: quorums, commits, changes."""
+"""Membership rules: quorums, commits and changes."""
 
 import typing
 from collections import abc
@@ -15,7 +15,7 @@
 
 
 def majority(membership: types.Membership) -> int:
-    """Returns how many voters are more than half of them.
+    """Returns the smallest number of voters that is a majority.
 
     Examples:
         >>> three = tuple(types.ReplicaId(vm, "i") for vm in "abc")
@@ -29,59 +29,62 @@
     membership: types.Membership,
     value: abc.Callable[[types.ReplicaId], Number],
 ) -> Number:
-    """Returns the highest number that a majority of voters has reached.
+    """Returns the highest value that a majority of the voters has reached.
 
     Args:
-        membership: The make-up of the group, with at least one voter.
-        value: What a voter has reached.
+        membership: A membership with at least one voter.
+        value: Returns the value that a voter has reached.
     """
     values = sorted((value(voter) for voter in membership.voters), reverse=True)
     return values[majority(membership) - 1]
 
 
-def committable(
+def committable_index(
     membership: types.Membership,
-    held: abc.Callable[[types.ReplicaId], int],
-    synced: abc.Callable[[types.ReplicaId], int],
+    match_index: abc.Callable[[types.ReplicaId], int],
+    synced_index: abc.Callable[[types.ReplicaId], int],
 ) -> int:
     """Returns the highest index that may be committed.
 
-    A majority of the voters must hold it, and one synced disk must if the
-    membership counts on any. Both conditions hold for all lower indexes too.
-    The disk may be any voter's: a group whose membership has lost the marks of
-    some disks goes on when those that are marked are gone.
+    A majority of the voters must hold the entry, and at least one synced disk
+    if any voter is in `with_disk`. If both conditions hold for an index, they
+    hold for all lower ones. The disk may be that of any voter, so that a group
+    whose `with_disk` is incomplete can commit after those listed are lost.
 
     Args:
-        membership: The make-up of the group, with at least one voter.
-        held: The highest index a voter holds.
-        synced: The highest index on a voter's synced disk, 0 without one.
+        membership: A membership with at least one voter.
+        match_index: Returns the highest index that a voter holds.
+        synced_index: Returns the highest index on a voter's synced disk, 0
+            without a disk.
     """
-    index = reached_by_majority(membership, held)
+    index = reached_by_majority(membership, match_index)
     if not any(voter.vm in membership.with_disk for voter in membership.voters):
         return index
-    return min(index, max(map(synced, membership.voters)))
+    return min(index, max(map(synced_index, membership.voters)))
 
 
 def check_change(old: types.Membership, new: types.Membership) -> None:
-    """Checks that `new` may directly follow `old`.
+    """Checks that the membership may change from `old` to `new`.
 
-    Majorities of two memberships that differ by one voter always share a
-    voter, so that two leaders cannot be elected in one term.
+    Any majorities of two memberships that differ by one voter overlap, so
+    that no two leaders are elected in one term.
 
     Raises:
-        engine_errors.InvalidMembershipError: It may not.
+        engine_errors.InvalidMembershipError: The change is not allowed.
     """
     if not new.voters:
-        raise engine_errors.InvalidMembershipError("no voters are left")
-    everyone = members(new)
-    vms = {member.vm for member in everyone}
-    if len(set(everyone)) != len(everyone):
         raise engine_errors.InvalidMembershipError(
-            f"a replica appears twice in {everyone!r}"
+            "the membership has no voters"
+        )
+    all_members = members(new)
+    vms = {member.vm for member in all_members}
+    if len(set(all_members)) != len(all_members):
+        raise engine_errors.InvalidMembershipError(
+            f"duplicate replica in {all_members!r}"
         )
     if not new.with_disk <= vms:
         raise engine_errors.InvalidMembershipError(
-            f"no members: {sorted(new.with_disk - vms)!r}"
+            f"with_disk has non-members: {sorted(new.with_disk - vms)!r}"
         )
     changed = set(old.voters) ^ set(new.voters)
     if len(changed) > 1:
--- a/laburnumsill/consensus/options.py
+++ b/laburnumsill/consensus/options.py
@@ -5,27 +5,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Options:
-    """Periods and limits of one replica; the same in all of a group.
+    """Timeouts and limits of the engine, equal in all replicas of a group.
 
-    The periods are lengths of time, because the engine turns them into
-    deadlines again and again; no deadline is derived from them elsewhere.
+    The timeouts are durations rather than deadlines, because the engine
+    derives new deadlines from them each time a timer is set.
 
     Attributes:
-        election_timeout_s: Seconds without a leader before a campaign, at
-            least, until its followers have learnt how regular the leader is
-            (see `patience`); a leader without a majority steps down after as
-            long.
-        heartbeat_s: Seconds between heartbeats of an idle leader.
-        max_append_bytes: Entry bytes in one APPEND; an entry larger than
-            this goes alone.
-        max_in_flight: Unanswered APPENDs to one follower.
-        snapshot_chunk_bytes: Snapshot bytes in one SNAPSHOT.
-        max_in_flight_bytes: Entry bytes unanswered by one follower.
-        kept_bytes: Entry bytes kept behind a snapshot, so that a follower
-            slightly behind needs no snapshot.
-        max_kept_bytes: The same while a snapshot is being sent.
-        learns_patience: Whether followers learn how regular their leader is;
-            off for measurements only.
+        election_timeout_s: Maximum of the adaptive election timeout, in
+            seconds; a follower uses it until it has received enough leader
+            messages (see `patience`). A leader steps down after this time
+            without replies of a majority.
+        heartbeat_s: Heartbeat interval of a leader, in seconds.
+        max_append_bytes: Maximum entry bytes in one APPEND; a larger entry is
+            sent alone.
+        max_in_flight: Maximum unacknowledged APPENDs to one follower.
+        snapshot_chunk_bytes: Snapshot bytes in one SNAPSHOT message.
+        max_in_flight_bytes: Limit of unacknowledged entry bytes per follower.
+        kept_bytes: Entry bytes retained behind a snapshot, so that a follower
+            that lags slightly needs no snapshot.
+        max_kept_bytes: Entry bytes retained while a snapshot is being sent.
+        learns_patience: Whether the election timeout adapts to the intervals
+            between leader messages; turned off only for measurements.
     """
 
     election_timeout_s: float = 1.0
--- a/laburnumsill/consensus/progress.py
+++ b/laburnumsill/consensus/progress.py
@@ -1,4 +1,4 @@
-"""What a leader knows of one other member."""
+"""Replication progress of one member, as its leader sees it."""
 
 import collections
 import enum
@@ -8,30 +8,30 @@
 
 
 class Mode(enum.Enum):
-    """How a leader sends entries to a member."""
+    """Replication mode of a member."""
 
     PROBE = "probe"
-    """One APPEND at a time, to find where the logs agree."""
+    """One APPEND at a time, to find the last index at which the logs match."""
     REPLICATE = "replicate"
-    """Many APPENDs in flight."""
+    """Pipelined APPENDs, up to the limits on messages in flight."""
     SNAPSHOT = "snapshot"
     """One chunk of a snapshot at a time."""
 
 
 class Progress:
-    """Position and flow control of one member.
+    """Replication position and flow control of one member.
 
     Attributes:
-        match: Highest index known to be equal in both logs.
+        match: Highest index at which both logs are known to match.
         next: Next index to send.
         synced: Highest index on the member's synced disk.
-        mode: How entries are sent.
-        heard_at: When a message came last.
-        round: Newest heartbeat round it has answered.
-        sent_commit: Commit index last sent.
+        mode: Replication mode.
+        heard_at: Monotonic time of the last reply.
+        round: Latest heartbeat round that the member acknowledged.
+        sent_commit: Highest commit index sent.
         snapshot: The snapshot being sent, or None.
-        offset: Position of the next chunk of it.
-        writable: Whether the member said that it can write.
+        offset: Byte offset of the next chunk of the snapshot.
+        writable: Whether the member reported that it can write.
     """
 
     def __init__(
@@ -48,8 +48,8 @@
         self.offset = 0
         self.writable = True
         self._options = options
-        self._waiting = False
-        self._waiting_since = now
+        self._awaiting_reply = False
+        self._awaiting_since = now
         self._in_flight: collections.deque[tuple[int, int]] = (
             collections.deque()
         )
@@ -57,39 +57,41 @@
 
     @property
     def idle(self) -> bool:
-        """Whether no answer is outstanding."""
-        return not self._waiting and not self._in_flight
+        """Whether no reply is outstanding."""
+        return not self._awaiting_reply and not self._in_flight
 
     @property
     def may_send(self) -> bool:
-        """Whether flow control lets another message go."""
+        """Whether flow control permits another message."""
         if not self.writable:
             return False
         if self.mode is not Mode.REPLICATE:
-            return not self._waiting
+            return not self._awaiting_reply
         return (
             len(self._in_flight) < self._options.max_in_flight
             and self._in_flight_bytes < self._options.max_in_flight_bytes
         )
 
-    def stalled(self, now: float) -> bool:
-        """Returns whether an answer is overdue from a member that is there.
+    def is_stalled(self, now: float) -> bool:
+        """Returns whether a reply is overdue from a reachable member.
 
-        A member that is not heard from is sent heartbeats only.
+        A member that replies to nothing is sent heartbeats only.
         """
-        overdue = self._waiting_since + self._options.election_timeout_s / 2
+        overdue = self._awaiting_since + self._options.election_timeout_s / 2
         return (
             not self.idle
             and now >= overdue
-            and self.heard_at > self._waiting_since
+            and self.heard_at > self._awaiting_since
         )
 
-    def sent(self, entries: tuple[types.Entry, ...], now: float) -> None:
-        """Notes an APPEND that went out."""
+    def on_append_sent(
+        self, entries: tuple[types.Entry, ...], now: float
+    ) -> None:
+        """Records an APPEND that was sent."""
         if self.idle:
-            self._waiting_since = now
+            self._awaiting_since = now
         if self.mode is Mode.PROBE:
-            self._waiting = True
+            self._awaiting_reply = True
             return
         if not entries:
             return
@@ -98,17 +100,17 @@
         self._in_flight_bytes += size
         self.next = entries[-1].index + 1
 
-    def sent_chunk(self, now: float) -> None:
-        """Notes a SNAPSHOT that went out."""
-        self._waiting = True
-        self._waiting_since = now
+    def on_chunk_sent(self, now: float) -> None:
+        """Records a SNAPSHOT chunk that was sent."""
+        self._awaiting_reply = True
+        self._awaiting_since = now
 
-    def accept(self, match: int, synced: int, now: float) -> None:
-        """Notes that the logs agree up to `match`."""
+    def on_append_accepted(self, match: int, synced: int, now: float) -> None:
+        """Records that the logs match up to `match`."""
         self.match = max(self.match, match)
         self.synced = max(self.synced, synced)
         self.next = max(self.next, self.match + 1)
-        self._waiting_since = now
+        self._awaiting_since = now
         while self._in_flight and self._in_flight[0][0] <= self.match:
             _, size = self._in_flight.popleft()
             self._in_flight_bytes -= size
@@ -116,56 +118,59 @@
             if self.snapshot and self.match < self.snapshot.index:
                 return
             self.snapshot = None
-        self._waiting = False
+        self._awaiting_reply = False
         self.mode = Mode.REPLICATE
 
-    def refuse(self, index: int, agreed: int) -> None:
-        """Notes that the member has no such entry before the ones sent.
+    def on_append_rejected(self, index: int, match_hint: int) -> None:
+        """Handles a rejection: the member lacks the entry before those sent.
 
         Args:
-            index: The index that was refused.
-            agreed: Highest index at which the logs may agree.
+            index: Index of the entry that the member lacks.
+            match_hint: Highest index at which the logs may match.
         """
         if self.mode is Mode.SNAPSHOT or index <= self.match:
             return
         if self.mode is Mode.PROBE and index != self.next - 1:
             return
-        self.probe(min(index, agreed + 1))
+        self.probe(min(index, match_hint + 1))
 
     def probe(self, next_index: int) -> None:
-        """Goes back to probing, from `next_index` or after the match."""
+        """Returns to probing from `next_index`, or after `match` if higher."""
         self.mode = Mode.PROBE
         self.next = max(next_index, self.match + 1)
         self.snapshot = None
         self._clear()
 
     def retry(self) -> None:
-        """Sends again what was not answered."""
+        """Schedules unacknowledged messages for retransmission."""
         if self.mode is Mode.REPLICATE:
             self.probe(self.match + 1)
         else:
-            self._waiting = False
+            self._awaiting_reply = False
 
     def send_snapshot(self, snapshot: types.Snapshot) -> None:
-        """Begins to send a snapshot."""
+        """Begins to send `snapshot`."""
         self.mode = Mode.SNAPSHOT
         self.snapshot = snapshot
         self.offset = 0
         self._clear()
 
-    def note_writable(self, writable: bool) -> None:
-        """Notes whether the member can write; repeats what it dropped."""
+    def on_writable(self, writable: bool) -> None:
+        """Records whether the member can write.
+
+        Entries that it dropped while it could not are sent again.
+        """
         if writable and not self.writable:
             self.retry()
         self.writable = writable
 
-    def accept_chunk(self, index: int, offset: int) -> None:
-        """Notes how much of the snapshot at `index` has arrived."""
+    def on_chunk_accepted(self, index: int, offset: int) -> None:
+        """Records how many bytes of the snapshot at `index` were received."""
         if self.snapshot and self.snapshot.index == index:
             self.offset = min(offset, len(self.snapshot.data))
-            self._waiting = False
+            self._awaiting_reply = False
 
     def _clear(self) -> None:
-        self._waiting = False
+        self._awaiting_reply = False
         self._in_flight.clear()
         self._in_flight_bytes = 0
--- a/laburnumsill/consensus/reads.py
+++ b/laburnumsill/consensus/reads.py
@@ -1,4 +1,4 @@
-"""Reads that wait until a leader knows that it still leads."""
+"""Linearizable reads by heartbeat rounds (ReadIndex in the Raft thesis)."""
 
 import collections
 import dataclasses
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Round:
-    """Reads that one heartbeat round confirms."""
+    """Reads that one heartbeat round confirms at one commit index."""
 
     number: int
     index: int
@@ -16,11 +16,11 @@
 
 
 class ReadQueue:
-    """Reads in the order they came, gathered into heartbeat rounds.
+    """Pending reads in order of arrival, grouped into heartbeat rounds.
 
-    A read is linearizable if the leader learns, after the read came, that
-    a majority still follows it, and if everything committed when the read
-    came is applied before it is served.
+    A read is linearizable if, after its arrival, a majority acknowledges the
+    leader, and if everything that was committed at its arrival is applied
+    before it is served.
 
     References:
         D. Ongaro, "Consensus: bridging theory and practice", 2014,
@@ -28,45 +28,53 @@
     """
 
     def __init__(self) -> None:
-        self._new: list[int] = []
+        self._new_reads: list[int] = []
         self._rounds: collections.deque[_Round] = collections.deque()
-        self._number = 0
+        self._newest_round = 0
 
     @property
-    def number(self) -> int:
-        """Number of the newest heartbeat round."""
-        return self._number
+    def newest_round(self) -> int:
+        """Number of the latest heartbeat round."""
+        return self._newest_round
 
     @property
-    def waiting(self) -> bool:
-        """Whether reads wait for a round to begin."""
-        return bool(self._new)
+    def has_new_reads(self) -> bool:
+        """Whether some reads are not assigned to a round yet."""
+        return bool(self._new_reads)
 
     def add(self, read_id: int) -> None:
-        """Adds a read."""
-        self._new.append(read_id)
+        """Adds a read, which joins the next round."""
+        self._new_reads.append(read_id)
 
-    def begin_round(self, committed: int) -> None:
-        """Begins a round for all reads that wait for one."""
-        self._number += 1
-        self._rounds.append(_Round(self._number, committed, tuple(self._new)))
-        self._new.clear()
+    def start_round(self, committed: int) -> None:
+        """Starts a round for all reads that are not assigned to one yet.
+
+        Args:
+            committed: The commit index, which the reads must see applied.
+        """
+        self._newest_round += 1
+        self._rounds.append(
+            _Round(self._newest_round, committed, tuple(self._new_reads))
+        )
+        self._new_reads.clear()
 
     def confirm(self, number: int) -> list[types.ConfirmedRead]:
-        """Returns the reads of all rounds up to `number`."""
-        found = []
+        """Removes and returns the reads of all rounds up to `number`."""
+        reads = []
         while self._rounds and self._rounds[0].number <= number:
-            done = self._rounds.popleft()
-            found += [
-                types.ConfirmedRead(read_id, done.index)
-                for read_id in done.read_ids
+            confirmed = self._rounds.popleft()
+            reads += [
+                types.ConfirmedRead(read_id, confirmed.index)
+                for read_id in confirmed.read_ids
             ]
-        return found
+        return reads
 
     def drain(self) -> list[int]:
-        """Returns the ids of all reads and forgets them."""
-        lost = [one for done in self._rounds for one in done.read_ids]
-        lost += self._new
+        """Removes all pending reads and returns their ids."""
+        pending_ids = [
+            read_id for waiting in self._rounds for read_id in waiting.read_ids
+        ]
+        pending_ids += self._new_reads
         self._rounds.clear()
-        self._new.clear()
-        return lost
+        self._new_reads.clear()
+        return pending_ids
--- a/laburnumsill/consensus/replica.py
+++ b/laburnumsill/consensus/replica.py
@@ -1,4 +1,4 @@
-"""What the parts of the consensus engine share."""
+"""Replica state shared by the parts of the consensus engine."""
 
 import random
 import typing
@@ -10,19 +10,20 @@
 
 
 class Replica:
-    """Identity, term, log and pending output of one replica.
+    """Identity, hard state, log and pending output of one replica.
 
     Attributes:
         group: Name of the group.
-        me: This replica.
-        options: Its settings.
-        random: Source of the spread of election timeouts.
-        now: The newest point of the monotonic clock that was passed in.
+        me: Id of this replica.
+        options: Settings of the engine.
+        random: Random source of the election timeouts.
+        now: The latest monotonic time that the host passed in.
         log: The log.
-        committed: The highest index known to be committed.
-        durable: The highest index that the host has stored.
-        writable: Whether the host can store anything now.
-        has_disk: Whether what is stored is on a synced disk.
+        committed: The commit index.
+        durable: The highest index that the host has stored, and synced where
+            there is a disk.
+        writable: Whether the host can store entries and votes now.
+        has_disk: Whether the host syncs to a disk.
     """
 
     def __init__(
@@ -45,59 +46,59 @@
         self.writable = True
         self.has_disk = stored.with_disk
         self._hard_state = stored.hard_state
-        self._unsaved = False
-        self._install: types.Snapshot | None = None
-        self._append_from = self.log.last_index + 1
-        self._handed = self.committed
+        self._hard_state_changed = False
+        self._pending_snapshot: types.Snapshot | None = None
+        self._first_new_index = self.log.last_index + 1
+        self._delivered = self.committed
         self._messages: list[types.Message] = []
         self._reads: list[types.ConfirmedRead] = []
-        self._lost_reads: list[int] = []
+        self._failed_reads: list[int] = []
 
     @property
     def term(self) -> int:
-        """The newest term this replica has entered."""
+        """The current term."""
         return self._hard_state.term
 
     @property
     def vote(self) -> types.ReplicaId | None:
-        """Whom this replica voted for in its term."""
+        """The candidate that received this replica's vote in its term."""
         return self._hard_state.vote
 
     @property
-    def handed(self) -> int:
-        """The highest index handed out to be applied."""
-        return self._handed
+    def delivered(self) -> int:
+        """The highest index delivered to the host for application."""
+        return self._delivered
 
     @property
-    def votes(self) -> bool:
-        """Whether this replica is a voter as far as it knows."""
+    def is_voter(self) -> bool:
+        """Whether this replica is a voter in its latest membership."""
         return self.me in self.log.membership.voters
 
     @property
     def may_campaign(self) -> bool:
-        """Whether this replica may be needed as a leader.
+        """Whether this replica may become a candidate.
 
-        One whose removal is not committed may hold entries that the others
-        lack and refuse them its vote; then only it can lead and commit its
-        own removal.
+        A replica whose removal is not committed still may: if it holds
+        entries that the other voters lack, it refuses them its vote, and only
+        it can become leader and commit its own removal.
         """
-        return self.log.voted_since(self.committed, self.me)
+        return self.log.is_voter_since(self.committed, self.me)
 
     @property
-    def leads_committed(self) -> bool:
-        """Whether an entry of the present term is committed."""
+    def has_committed_in_term(self) -> bool:
+        """Whether an entry of the current term is committed."""
         return self.log.term_at(self.committed) == self.term
 
     def enter_term(self, term: int) -> None:
-        """Enters a newer term, in which no vote was given yet."""
+        """Enters a newer term, without a vote."""
         self._hard_state = types.HardState(term, None)
-        self._unsaved = True
+        self._hard_state_changed = True
 
     def vote_for(self, candidate: types.ReplicaId) -> None:
-        """Gives this term's vote."""
+        """Votes for `candidate` in the current term."""
         if self._hard_state.vote != candidate:
             self._hard_state = types.HardState(self.term, candidate)
-            self._unsaved = True
+            self._hard_state_changed = True
 
     def send(
         self,
@@ -107,69 +108,69 @@
         term: int | None = None,
         **fields: typing.Any,
     ) -> None:
-        """Adds a message to the output, of the present term by default."""
-        sent_term = self.term if term is None else term
+        """Adds a message to the output, by default with the current term."""
+        message_term = self.term if term is None else term
         self._messages.append(
-            types.Message(kind, self.me, target, sent_term, **fields)
+            types.Message(kind, self.me, target, message_term, **fields)
         )
 
     def append(self, entry: types.Entry) -> None:
         """Adds an entry to the log and to the output."""
-        self._append_from = min(self._append_from, entry.index)
+        self._first_new_index = min(self._first_new_index, entry.index)
         self.log.append(entry)
 
     def truncate_from(self, index: int) -> None:
-        """Removes entries that the leader does not have.
+        """Removes the entry at `index` and all later ones, on conflict.
 
         Raises:
-            engine_errors.LogBrokenError: They were committed.
+            engine_errors.LogBrokenError: The entry is committed.
         """
         if index <= self.committed:
             raise engine_errors.LogBrokenError(
-                f"group {self.group}: entry {index} of term"
-                f" {self.log.term_at(index)} is committed and was to be"
-                f" replaced in term {self.term}"
+                f"group {self.group}: committed entry {index} of term"
+                f" {self.log.term_at(index)} conflicts with the leader of"
+                f" term {self.term}"
             )
         self.log.truncate_from(index)
         self.durable = min(self.durable, index - 1)
 
     def commit_to(self, index: int) -> None:
-        """Notes that everything up to `index` is committed."""
+        """Advances the commit index to `index`, unless it is higher already."""
         self.committed = max(self.committed, index)
 
     def install(self, snapshot: types.Snapshot) -> None:
         """Replaces the log and the applied state by a snapshot."""
         self.log.reset(snapshot)
-        self._install = snapshot
-        self._append_from = snapshot.index + 1
+        self._pending_snapshot = snapshot
+        self._first_new_index = snapshot.index + 1
         self.committed = snapshot.index
-        self._handed = snapshot.index
+        self._delivered = snapshot.index
         self.durable = snapshot.index
 
     def confirm_reads(self, reads: list[types.ConfirmedRead]) -> None:
-        """Adds reads that may be served to the output."""
+        """Adds confirmed reads to the output."""
         self._reads += reads
 
-    def lose_reads(self, read_ids: list[int]) -> None:
-        """Adds reads that cannot be confirmed to the output."""
-        self._lost_reads += read_ids
+    def fail_reads(self, read_ids: list[int]) -> None:
+        """Adds reads that failed to the output, by their ids."""
+        self._failed_reads += read_ids
 
     def take_output(self) -> types.Output:
-        """Returns everything that the host has to do, and forgets it."""
+        """Returns the pending output and clears it."""
         output = types.Output(
-            self._hard_state if self._unsaved else None,
-            self._install,
-            self.log.between(self._append_from, self.log.last_index),
+            self._hard_state if self._hard_state_changed else None,
+            self._pending_snapshot,
+            self.log.between(self._first_new_index, self.log.last_index),
             tuple(self._messages),
-            self.log.between(self._handed + 1, self.committed),
+            self.log.between(self._delivered + 1, self.committed),
             tuple(self._reads),
-            tuple(self._lost_reads),
+            tuple(self._failed_reads),
         )
-        self._unsaved = False
-        self._install = None
-        self._append_from = self.log.last_index + 1
-        self._handed = self.committed
+        self._hard_state_changed = False
+        self._pending_snapshot = None
+        self._first_new_index = self.log.last_index + 1
+        self._delivered = self.committed
         self._messages.clear()
         self._reads.clear()
-        self._lost_reads.clear()
+        self._failed_reads.clear()
         return output
--- a/laburnumsill/consensus/roles.py
+++ b/laburnumsill/consensus/roles.py
@@ -1,4 +1,4 @@
-"""The role a replica has in its term, and how it changes."""
+"""The role of a replica in its term, and the transitions between roles."""
 
 from laburnumsill.consensus import election
 from laburnumsill.consensus import engine_errors
@@ -7,115 +7,130 @@
 from laburnumsill.consensus import replica as replica_module
 from laburnumsill.consensus import types
 
-FIRST_WAIT = 0.4
-"""Share of the election timeout that a replica waits at least after it has
-started: time for connections to be made and a heartbeat to come."""
+MIN_STARTUP_TIMEOUT_SHARE = 0.4
+"""Minimum startup timeout of a replica as a share of the election timeout. It
+leaves time to connect and to receive a heartbeat."""
 
 
 class Role:
-    """Whether a replica leads, campaigns or follows.
+    """The role of a replica: leader, candidate, follower or learner.
 
     Attributes:
-        leadership: What a leader keeps, or None.
-        campaign: The present campaign, or None.
-        leader: The leader of the present term, as far as is known.
-        election_at: When to campaign unless a leader is heard before.
+        leadership: The leader state, or None.
+        campaign: The current campaign, or None.
+        leader: The leader of the current term, or None if unknown.
+        election_deadline: Monotonic time at which the election timer expires.
     """
 
     def __init__(self, replica: replica_module.Replica) -> None:
         self.leadership: leading.Leadership | None = None
         self.campaign: election.Campaign | None = None
         self.leader: types.ReplicaId | None = None
-        self.election_at = replica.now
+        self.election_deadline = replica.now
         self._replica = replica
-        self._heard_at = replica.now
-        self._heard: tuple[types.ReplicaId, int] | None = None
-        self._patience = patience_module.Patience(replica.options)
-        self._wait_at_start()
+        self._last_contact_at = replica.now
+        self._followed: tuple[types.ReplicaId, int] | None = None
+        self._election_timeout = patience_module.ElectionTimeout(
+            replica.options
+        )
+        self._set_startup_timer()
 
     @property
     def name(self) -> str:
-        """One of leader, candidate, follower and learner."""
+        """The role: leader, candidate, follower or learner."""
         if self.leadership:
             return "leader"
         if self.campaign:
             return "candidate"
         return "follower" if self._replica.may_campaign else "learner"
 
-    def hear(self, leader: types.ReplicaId) -> None:
-        """Follows the leader that a message of the present term came from.
+    def follow(self, leader: types.ReplicaId) -> None:
+        """Follows `leader`, which sent a message in the current term.
 
         Raises:
-            engine_errors.LogBrokenError: This replica leads the term itself.
+            engine_errors.LogBrokenError: This replica is leader of the term.
         """
         if self.leadership:
             raise engine_errors.LogBrokenError(
                 f"two leaders in term {self._replica.term}: {leader!r} and"
                 f" {self._replica.me!r}"
             )
-        lead = (leader, self._replica.term)
-        if lead != self._heard:
-            self._patience.lose()
-        self._heard = lead
+        followed = (leader, self._replica.term)
+        if followed != self._followed:
+            self._election_timeout.reset()
+        self._followed = followed
         self.campaign = None
         self.leader = leader
-        self._heard_at = self._replica.now
-        self._patience.hear(self._heard_at)
-        self._wait_for_leader()
+        self._last_contact_at = self._replica.now
+        self._election_timeout.on_leader_message(self._last_contact_at)
+        self._reset_election_timer()
+
+    def has_live_leader(self) -> bool:
+        """Returns whether the known leader is still considered alive.
 
-    def led(self) -> bool:
-        """Returns whether a leader was heard and is not missed yet."""
+        For a leader, returns whether a majority has replied to it within the
+        election timeout.
+        """
         if self.leadership:
-            return self.leadership.supported
-        patience_s = self._patience.timeout_s
+            return self.leadership.has_quorum
+        timeout_s = self._election_timeout.seconds
         return (
             self.leader is not None
-            and self._replica.now < self._heard_at + patience_s
+            and self._replica.now < self._last_contact_at + timeout_s
         )
 
-    def meet_newer_term(self, message: types.Message) -> bool:
-        """Enters a newer term; returns whether to go on with the message."""
+    def handle_newer_term(self, message: types.Message) -> bool:
+        """Handles a message of a newer term.
+
+        PRE_VOTE and granted PRE_VOTE_REPLY do not change the term. VOTE is
+        ignored while the leader is alive, unless it results from a leadership
+        transfer. Any other message makes this replica enter the term.
+
+        Returns:
+            Whether the message is to be processed further.
+        """
         kind = message.kind
         if kind is types.MessageKind.PRE_VOTE:
             return True
         if kind is types.MessageKind.PRE_VOTE_REPLY and message.granted:
             return True
-        uninvited = kind is types.MessageKind.VOTE and not message.granted
-        if uninvited and self.led():
+        needs_no_leader = kind is types.MessageKind.VOTE and not message.granted
+        if needs_no_leader and self.has_live_leader():
             return False
         self.step_down()
         self._replica.enter_term(message.term)
         return True
 
-    def leave_if_removed(self) -> None:
-        """Hands over once the membership without this replica is committed."""
+    def resign_if_removed(self) -> None:
+        """Steps down once a membership without this replica is committed."""
         if self.leadership and self.leadership.removed:
-            self.leadership.hand_over()
+            self.leadership.transfer_to_best_voter()
             self.step_down()
 
-    def miss_leader(self) -> None:
-        """Campaigns, or waits on, after a time without a leader."""
+    def on_election_timeout(self) -> None:
+        """Starts a campaign if possible, else restarts the election timer."""
         self.leader = None
         if self._replica.may_campaign and self._replica.writable:
-            self.start_campaign(election.Stage.PRE_VOTE, ordered=False)
+            self.start_campaign(election.Stage.PRE_VOTE, for_transfer=False)
         else:
-            self._wait_for_leader()
+            self._reset_election_timer()
 
-    def start_campaign(self, stage: election.Stage, ordered: bool) -> None:
-        """Campaigns, if this replica is a voter and can store its vote.
+    def start_campaign(self, stage: election.Stage, for_transfer: bool) -> None:
+        """Starts a campaign if this replica may campaign and can store a vote.
 
         Args:
-            stage: Whether to begin with the pre-vote or the vote.
-            ordered: Whether the leader asked for it.
+            stage: The first stage, pre-vote or vote.
+            for_transfer: Whether the leader asked for the campaign, by a
+                leadership transfer.
         """
         replica = self._replica
         ready = replica.may_campaign and replica.writable
         if self.leadership or not ready:
             return
         self.leader = None
-        self.campaign = election.Campaign(self._replica, stage, ordered)
+        self.campaign = election.Campaign(self._replica, stage, for_transfer)
         self.campaign.start()
-        self._wait_for_votes()
+        self._set_campaign_timer()
         self._finish_campaign()
 
     def _finish_campaign(self) -> None:
@@ -124,62 +139,69 @@
             return
         self.campaign = None
         if campaign.stage is election.Stage.PRE_VOTE:
-            self.start_campaign(election.Stage.VOTE, ordered=False)
+            self.start_campaign(election.Stage.VOTE, for_transfer=False)
             return
         self.leader = self._replica.me
         self.leadership = leading.Leadership(self._replica)
 
     def step_down(self) -> None:
-        """Becomes a follower that knows no leader."""
+        """Becomes a follower without a known leader."""
         if self.leadership:
-            self.leadership.resign()
+            self.leadership.fail_pending_reads()
         self.leadership = None
         self.campaign = None
         self.leader = None
-        self._wait_for_leader()
+        self._reset_election_timer()
+
+    def _reset_election_timer(self) -> None:
+        """Restarts the timer with one to two election timeouts.
 
-    def _wait_for_leader(self) -> None:
-        """Waits once to twice its patience, so that ties are rare."""
+        The random spread makes split votes rare.
+        """
         spread = 1 + self._replica.random.random()
-        wait_s = self._patience.timeout_s * spread
-        self.election_at = self._replica.now + wait_s
+        wait_s = self._election_timeout.seconds * spread
+        self.election_deadline = self._replica.now + wait_s
 
-    def _wait_at_start(self) -> None:
-        """Waits less after a start, as all may have started just now.
+    def _set_startup_timer(self) -> None:
+        """Starts a shorter timer, as the whole group may just have started.
 
-        If there is a leader, it is heard within a heartbeat, and the
-        pre-vote keeps the others from being disturbed.
+        An existing leader sends a heartbeat within this time, and the
+        pre-vote keeps a premature campaign from disturbing the others.
         """
         timeout = self._replica.options.election_timeout_s
-        spread = FIRST_WAIT + self._replica.random.random() / 2
-        self.election_at = self._replica.now + timeout * spread
+        spread = MIN_STARTUP_TIMEOUT_SHARE + self._replica.random.random() / 2
+        self.election_deadline = self._replica.now + timeout * spread
 
-    def _wait_for_votes(self) -> None:
-        """Waits less than for a leader: nothing is disturbed by a retry."""
+    def _set_campaign_timer(self) -> None:
+        """Starts the campaign timer with half to one election timeout.
+
+        It is shorter than a follower's timer because a retried campaign
+        disturbs no leader.
+        """
         spread = (1 + self._replica.random.random()) / 2
-        wait_s = self._patience.timeout_s * spread
-        self.election_at = self._replica.now + wait_s
+        wait_s = self._election_timeout.seconds * spread
+        self.election_deadline = self._replica.now + wait_s
 
-    def confirm_support(self) -> leading.Leadership | None:
-        """Returns the leadership; gives it up if a majority is silent."""
-        if self.leadership and not self.leadership.supported:
+    def check_quorum(self) -> leading.Leadership | None:
+        """Steps down without a quorum; returns the leader state, if any."""
+        if self.leadership and not self.leadership.has_quorum:
             self.step_down()
         return self.leadership
 
     def answer_candidate(self, message: types.Message) -> None:
-        """Answers a pre-vote or a vote."""
+        """Answers a PRE_VOTE or VOTE request."""
         if message.kind is types.MessageKind.PRE_VOTE:
-            led = self.led()
-            election.answer_pre_vote(self._replica, message, led)
+            has_live_leader = self.has_live_leader()
+            election.answer_pre_vote(self._replica, message, has_live_leader)
         elif message.term < self._replica.term:
             self._replica.send(
                 types.MessageKind.VOTE_REPLY, message.source, granted=False
             )
         elif election.answer_vote(self._replica, message):
-            self._wait_for_leader()
+            self._reset_election_timer()
 
     def count_vote(self, message: types.Message) -> None:
-        """Counts a reply to the present campaign, if any."""
+        """Counts a reply to the current campaign, if any."""
         if self.campaign:
             self.campaign.count(message)
             self._finish_campaign()
--- a/laburnumsill/consensus/tests/test_engine_rules.py
+++ b/laburnumsill/consensus/tests/test_engine_rules.py
@@ -353,7 +353,7 @@
     leader.step(first, 10.0)
     assert leader.committed == 2
     source = random.Random(7)
-    learnt = patience.Patience(options)
+    learnt = patience.ElectionTimeout(options)
     now, read_at = 10.0, 10.25
     while now < 40.0:
         wanted = leader.next_tick()
@@ -367,11 +367,11 @@
         sent = [one for one in leader.take_output().messages if one.target == B]
         if not any(one.kind is KIND.HEARTBEAT for one in sent):
             continue
-        learnt.hear(now)
+        learnt.on_leader_message(now)
         for member in (B, C):
             answer = types.Message(
                 KIND.HEARTBEAT_REPLY, member, A, 2, round=sent[-1].round
             )
             leader.step(answer, now)
     assert leader.role == "leader"
-    assert learnt.timeout_s == pytest.approx(0.3, abs=0.05)
+    assert learnt.seconds == pytest.approx(0.3, abs=0.05)
--- a/laburnumsill/consensus/types.py
+++ b/laburnumsill/consensus/types.py
@@ -1,9 +1,9 @@
 """Types shared by the consensus engine, its store and its host.
 
-The engine is a pure state machine: the host passes it time, messages and
-proposals, then takes an `Output` and carries it out in this order: append
-and sync, then send, then apply. Messages that promise durability are only
-sent after the sync they depend on.
+The engine is a pure state machine: the host passes it the time, messages and
+proposals, then takes an `Output` and executes it in this order: append and
+sync, send, apply. Messages that depend on stored state are only sent after
+that state is synced.
 """
 
 import dataclasses
@@ -15,15 +15,15 @@
 @codec.register("raft.replica-id")
 @dataclasses.dataclass(frozen=True, slots=True, order=True)
 class ReplicaId:
-    """One life of one replica.
+    """Identity of one incarnation of a replica.
 
-    A replica that lost its state comes back under a new incarnation, so
-    that nothing it promised before can be held against its empty state.
+    A replica that lost its state returns under a new incarnation, so that
+    votes and acknowledgements of the old one are not attributed to it.
 
     Attributes:
-        vm: The VM it runs on.
-        incarnation: Drawn at random when the replica was made; kept on disk
-            where there is one.
+        vm: The VM on which the replica runs.
+        incarnation: Random id, drawn when the replica is created and kept on
+            disk if there is one.
     """
 
     vm: str
@@ -31,7 +31,7 @@
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log holds."""
+    """Kind of a log entry."""
 
     COMMAND = 0
     MEMBERSHIP = 1
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """One entry of the log; indexes start at 1."""
+    """One entry of the replicated log; indexes start at 1."""
 
     index: int
     term: int
@@ -51,12 +51,12 @@
 @codec.register("raft.membership")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Membership:
-    """The make-up of a group; changed by one replica at a time.
+    """The replicas of a group; at most one voter changes at a time.
 
     Attributes:
         voters: Replicas that count for elections and commits.
-        learners: Replicas that only receive the log.
-        with_disk: The VMs among both that sync to a disk.
+        learners: Replicas that receive the log but do not vote.
+        with_disk: VMs of the voters and learners that sync to a disk.
     """
 
     voters: tuple[ReplicaId, ...]
@@ -66,7 +66,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HardState:
-    """What must be synced before a vote or a term is acted on."""
+    """Term and vote, synced before any message that depends on them."""
 
     term: int = 0
     vote: ReplicaId | None = None
@@ -74,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The applied state up to and including `index`."""
+    """A snapshot of the applied state up to and including `index`."""
 
     index: int
     term: int
@@ -83,7 +83,7 @@
 
 
 class MessageKind(enum.IntEnum):
-    """Kinds of messages; the numbers are those of peer.thrift."""
+    """Kind of a Raft message; the numbers match peer.thrift."""
 
     PRE_VOTE = 1
     PRE_VOTE_REPLY = 2
@@ -102,23 +102,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Message:
-    """One message between two replicas of a group.
+    """One Raft message between two replicas of a group.
 
-    A message whose `target` is not the receiver's own id, incarnation
-    included, is dropped.
+    A replica drops messages whose `target` differs from its own id,
+    including the incarnation.
 
     Attributes:
-        index: APPEND: index of the entry before `entries`; VOTE: last index;
-            APPEND_REPLY: highest matching index.
-        log_term: Term of the entry at `index`.
-        commit: The sender's commit index.
-        hint: APPEND_REPLY refused: where to go on from.
+        index: APPEND: index of the entry before `entries`; PRE_VOTE and VOTE:
+            index of the candidate's last entry; granted APPEND_REPLY: match
+            index; rejected APPEND_REPLY: index of the missing entry; SNAPSHOT
+            and SNAPSHOT_REPLY: index of the snapshot.
+        log_term: Term of the entry at `index`; of that at `hint` in a rejected
+            APPEND_REPLY.
+        commit: Commit index of the sender.
+        granted: Replies: whether the request was granted; PRE_VOTE and VOTE:
+            whether the campaign results from a leadership transfer.
+        hint: Rejected APPEND_REPLY: highest index at which the logs may match.
         round: Number of the heartbeat round, which confirms reads.
         synced: APPEND_REPLY: highest index on the sender's synced disk, 0
             without a disk.
-        offset: SNAPSHOT: position of `data` in the whole snapshot.
+        offset: SNAPSHOT: byte offset of `data` in the whole snapshot;
+            SNAPSHOT_REPLY: number of bytes received.
         last: SNAPSHOT: whether this is the last chunk.
-        full: HEARTBEAT_REPLY: whether the sender can write nothing now.
+        full: HEARTBEAT_REPLY: whether the sender cannot write now.
     """
 
     kind: MessageKind
@@ -149,17 +155,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Output:
-    """What the host has to carry out, in the order of the fields.
+    """Actions that the host executes, in the order of the fields.
 
     Attributes:
         hard_state: New term or vote to sync, or None.
-        install: Snapshot received whole, to store and load, or None.
+        install: Complete snapshot to store and load, or None.
         append: Entries to append; an entry at or below the last stored index
-            replaces that one and all after it.
-        messages: To send after the above is synced.
+            replaces the entry there and all later ones.
+        messages: Messages to send after the fields above are synced.
         committed: Entries to apply, in order.
-        reads: Reads that may be served after `committed` is applied.
-        lost_reads: Reads that cannot be confirmed any more.
+        reads: Confirmed reads to serve after `committed` is applied.
+        lost_reads: Ids of reads that failed because leadership was lost.
     """
 
     hard_state: HardState | None = None
@@ -173,13 +179,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Stored:
-    """What a replica's store holds when it is opened.
+    """Stored state of a replica when its store is opened.
 
     Attributes:
-        incarnation: The incarnation that wrote it.
+        incarnation: The incarnation that wrote the state.
         hard_state: Last synced term and vote.
-        snapshot: Last whole snapshot, or None.
-        entries: The log after the snapshot.
+        snapshot: Last complete snapshot, or None.
+        entries: Log entries after the snapshot.
         with_disk: Whether the store syncs to a disk.
     """
 
