--- a/laburnumsill/consensus/tests/simulated_group.py
+++ b/laburnumsill/consensus/tests/simulated_group.py
@@ -1,7 +1,7 @@
-"""A group of engines with a simulated host, disk and network each.
+"""A simulated group: engines, their hosts and disks, and a network.
 
-Every output is checked as it is taken, so that any test that drives a
-`Group` checks the safety rules.
+Every output of an engine is checked, so that any test that drives a `Group`
+checks the safety properties of Raft.
 """
 
 import collections
@@ -25,7 +25,14 @@
 
 @dataclasses.dataclass
 class Operation:
-    """A client's write or read; `floor` is what it must come after."""
+    """A write or read of a client.
+
+    Attributes:
+        floor: Highest index of the operations completed before it began.
+        index: Index of the entry written, or at which the read was served.
+        term: Term of the entry written.
+        done: Whether the client was answered.
+    """
 
     floor: int
     index: int = 0
@@ -34,13 +41,13 @@
 
 
 class Disk:
-    """What is synced, and where a crash cuts an unsynced write."""
+    """The synced state of one replica."""
 
     def __init__(self, stored: types.Stored) -> None:
         self.stored = stored
 
     def write(self, output: types.Output, kept: int | None = None) -> None:
-        """Carries out the output, or the first `kept` of its records."""
+        """Writes the output, or only its first `kept` records."""
         hard_state, snapshot, entries = (
             self.stored.hard_state,
             self.stored.snapshot,
@@ -69,13 +76,23 @@
         )
 
 
-def _writes(output: types.Output) -> bool:
-    """Returns whether anything of an output is to be stored."""
+def _has_writes(output: types.Output) -> bool:
+    """Returns whether the output has anything to store."""
     return bool(output.hard_state or output.install or output.append)
 
 
 class Host:
-    """One replica: its engine, its disk, its applied state."""
+    """One simulated replica: engine, disk and applied state.
+
+    Attributes:
+        engine: The engine, None while the process is down.
+        applied: Index of the last entry applied.
+        values: Data of the applied commands.
+        outputs: Outputs not executed yet.
+        paused_until: Until then the process is frozen.
+        full_until: Until then the disk is full.
+        boot_at: When a process that is down restarts.
+    """
 
     def __init__(self, group: "Group", me: types.ReplicaId) -> None:
         self.group = group
@@ -107,38 +124,45 @@
         self.reads: dict[int, Operation] = {}
 
     def crash(self, kept: int | None = 0, seconds: float = math.inf) -> None:
-        """Ends the process in its next write, of which `kept` records stay."""
+        """Ends the process for `seconds`, during its next write.
+
+        Args:
+            kept: Number of records of that write that reach the disk.
+            seconds: Time until the process restarts.
+        """
         if self.engine and kept:
-            self._take()
+            self._step_engine()
             self.disk.write(self.outputs[0], kept)
         self.engine = None
         self.boot_at = self.group.now + seconds
 
-    def turn(self) -> None:
-        """Takes messages and time, then takes and carries out output."""
+    def run_once(self) -> None:
+        """Runs one iteration: steps the engine, then executes its output."""
         if self.engine is None and self.group.now >= self.boot_at:
             self.boot()
         if self.engine is None or self.group.now < self.paused_until:
             return
-        self._take()
-        if self.group.now < self.full_until and any(map(_writes, self.outputs)):
+        self._step_engine()
+        if self.group.now < self.full_until and any(
+            map(_has_writes, self.outputs)
+        ):
             self.engine.set_writable(False)
-            self._drop_promises()
+            self._drop_messages()
             return
         if self.outputs:
             self.engine.set_writable(True)
-        # Now and then a sync takes so long that the engine goes on.
+        # With probability 0.2 the sync is still pending in the next iteration.
         while self.outputs and self.group.random.random() > 0.2:
-            self._carry_out(self.outputs[0])
+            self._execute(self.outputs[0])
             self.outputs.popleft()
 
-    def _drop_promises(self) -> None:
-        """Leaves out what could only be sent once there is room again."""
+    def _drop_messages(self) -> None:
+        """Drops the messages that wait for a write to the full disk."""
         self.outputs = collections.deque(
             dataclasses.replace(output, messages=()) for output in self.outputs
         )
 
-    def _take(self) -> None:
+    def _step_engine(self) -> None:
         inbox, self.inbox = self.inbox, []
         for message in inbox:
             self.engine.step(message, self.group.now)
@@ -146,34 +170,34 @@
             self.engine.tick(self.group.now)
         output = self.engine.take_output()
         self.group.check_output(self, output)
-        self._apply_all(output)
-        self.outputs.append(self._send_early(output))
+        self._apply_output(output)
+        self.outputs.append(self._send_unsynced(output))
 
-    def _send_early(self, output: types.Output) -> types.Output:
-        """Sends, before the sync, what promises nothing of this log."""
-        if any(one.hard_state for one in (*self.outputs, output)):
+    def _send_unsynced(self, output: types.Output) -> types.Output:
+        """Sends the messages that need not wait for the sync."""
+        if any(item.hard_state for item in (*self.outputs, output)):
             return output
-        late = []
+        synced_messages = []
         for message in output.messages:
             if message.kind in group_promises.UNSYNCED_KINDS:
                 self.group.send(message)
             else:
-                late.append(message)
-        return dataclasses.replace(output, messages=tuple(late))
+                synced_messages.append(message)
+        return dataclasses.replace(output, messages=tuple(synced_messages))
 
     def snapshot(self) -> None:
         if self.engine is None or not self.applied or self.outputs:
             return
-        taken = types.Snapshot(
+        new_snapshot = types.Snapshot(
             self.applied,
             self.group.committed[self.applied].term,
             self.engine.membership_at(self.applied),
             b",".join(self.values),
         )
-        self.disk.compact(taken)
-        self.engine.compact(taken)
+        self.disk.compact(new_snapshot)
+        self.engine.compact(new_snapshot)
 
-    def _carry_out(self, output: types.Output) -> None:
+    def _execute(self, output: types.Output) -> None:
         assert self.engine is not None
         self.disk.write(output)
         for message in output.messages:
@@ -182,7 +206,7 @@
             last = output.append[-1]
             self.engine.synced(last.index, last.term)
 
-    def _apply_all(self, output: types.Output) -> None:
+    def _apply_output(self, output: types.Output) -> None:
         if output.install:
             self.applied = output.install.index
             self.values = self._load(output.install)
@@ -200,7 +224,9 @@
         self.applied = entry.index
         if entry.kind is types.EntryKind.COMMAND:
             self.values.append(entry.data)
-        for operation in [x for x in self.writes if x.index == entry.index]:
+        for operation in [
+            item for item in self.writes if item.index == entry.index
+        ]:
             self.writes.remove(operation)
             if operation.term == entry.term:
                 assert operation.index > operation.floor
@@ -213,12 +239,35 @@
 
 
 class Group:
-    """Hosts, a network with faults, and what must always hold."""
+    """Hosts, a faulty network, and checks of the safety properties.
+
+    Attributes:
+        hosts: The current replica of each VM.
+        loss: Probability that a message is lost.
+        duplicates: Probability that a message is sent twice.
+        delay: Maximum delay of a message, in seconds.
+        load: Probability of a write, and of a read, in each iteration.
+        cut: Pairs of VMs that are partitioned, with the end time of each.
+        committed: Committed entries by index.
+        leaders: Leader of each term.
+        appended: Entry and previous term by index and term.
+        floor: Highest index at which an operation completed.
+        completed: Number of completed operations.
+    """
 
     def __init__(
         self, vms: str, disks: str, seed: int, counted: str | None = None
     ) -> None:
-        """Founds a group; its first membership counts on `counted` disks."""
+        """Founds a group.
+
+        Args:
+            vms: Names of the VMs, one letter each; the first one is the
+                founder.
+            disks: VMs that have a disk.
+            seed: Seed of all random choices.
+            counted: VMs in `with_disk` of the first membership; by default all
+                in `disks`.
+        """
         self.random = random_module.Random(seed)
         self.now = 0.0
         self.hosts: dict[str, Host] = {}
@@ -233,7 +282,7 @@
         self.appended: dict[tuple[int, int], tuple[types.Entry, int]] = {}
         self.floor = 0
         self.completed = 0
-        self._names = 0
+        self._incarnations = 0
         for vm in vms:
             self.add(vm)
         founder = self.hosts[vms[0]]
@@ -246,22 +295,22 @@
         founder.boot()
 
     def add(self, vm: str) -> Host:
-        """Starts an empty replica, under a new incarnation."""
-        self._names += 1
+        """Starts an empty replica on `vm` under a new incarnation."""
+        self._incarnations += 1
         if vm in self.hosts:
             self.retired.append(self.hosts[vm])
-        me = types.ReplicaId(vm, f"i{self._names}")
+        me = types.ReplicaId(vm, f"i{self._incarnations}")
         self.hosts[vm] = Host(self, me)
         return self.hosts[vm]
 
     def leader(self) -> Host | None:
-        """Returns the live leader of the newest term, if any."""
+        """Returns the running leader of the highest term, if any."""
         leaders = [
             host
             for host in self.hosts.values()
             if host.engine and host.engine.role == "leader"
         ]
-        return max(leaders, key=lambda x: x.engine.term, default=None)
+        return max(leaders, key=lambda item: item.engine.term, default=None)
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.05)):
@@ -270,12 +319,12 @@
             hosts = list(self.hosts.values())
             self.random.shuffle(hosts)
             for host in hosts:
-                host.turn()
+                host.run_once()
                 if host.engine and host.engine.role == "leader":
-                    self._use(host)
+                    self._generate_load(host)
 
-    def _use(self, host: Host) -> None:
-        """Writes and reads, and takes a snapshot, at random."""
+    def _generate_load(self, host: Host) -> None:
+        """Writes, reads and takes a snapshot on the host, at random."""
         if self.random.random() < self.load:
             self.write(host, b"%d" % len(self.appended))
         if self.random.random() < self.load:
@@ -284,27 +333,27 @@
             host.snapshot()
 
     def isolate(self, vm: str, seconds: float = math.inf) -> None:
-        """Cuts a VM off from all others."""
+        """Partitions a VM from all others for `seconds`."""
         for other in self.hosts:
             self.cut[frozenset((vm, other))] = self.now + seconds
 
     def run_until(self, condition, seconds: float = 20.0) -> None:
         deadline = self.now + seconds
         while not condition():
-            assert self.now < deadline, "nothing came of it"
+            assert self.now < deadline, "the condition did not hold in time"
             self.run(0.05)
 
     def until_read(self, seconds: float = 20.0) -> None:
-        """Runs until a leader has answered a read that began here."""
+        """Runs until a leader has answered a read begun after this call."""
         reads: list[Operation | None] = []
 
-        def answered() -> bool:
+        def read_completed() -> bool:
             leader = self.leader()
             reads.append(self.read(leader) if leader else None)
             self.run(0.2)
-            return any(one is not None and one.done for one in reads)
+            return any(item is not None and item.done for item in reads)
 
-        self.run_until(answered, seconds)
+        self.run_until(read_completed, seconds)
 
     def elect(self) -> Host:
         self.run_until(self.leader)
@@ -330,8 +379,8 @@
         return operation
 
     def complete(self, operation: Operation, index: int) -> None:
-        """Checks linearizability, the log's order being the witness."""
-        assert index >= operation.floor, "stale"
+        """Checks that the operation is linearizable in the order of the log."""
+        assert index >= operation.floor, "linearizability"
         operation.index = index
         operation.done = True
         self.floor = max(self.floor, index)
@@ -344,8 +393,8 @@
                 self.network.append((due, message))
 
     def _deliver(self) -> None:
-        due = [x for x in self.network if x[0] <= self.now]
-        self.network = [x for x in self.network if x[0] > self.now]
+        due = [item for item in self.network if item[0] <= self.now]
+        self.network = [item for item in self.network if item[0] > self.now]
         for _, message in due:
             source, target = message.source.vm, message.target.vm
             host = self.hosts[target]
@@ -354,39 +403,41 @@
                 host.inbox.append(message)
 
     def check_output(self, host: Host, output: types.Output) -> None:
-        made = host.engine
-        assert made is not None
+        raft = host.engine
+        assert raft is not None
         for entry in output.append:
-            self._check_log_matching(made, entry)
+            self._check_log_matching(raft, entry)
         for entry in output.committed:
-            known = self.committed.setdefault(entry.index, entry)
-            assert known == entry, "state machine safety"
-        if made.role == "leader":
+            expected = self.committed.setdefault(entry.index, entry)
+            assert expected == entry, "state machine safety"
+        if raft.role == "leader":
             self._check_leader(host)
 
     def _check_log_matching(
-        self, made: engine.Engine, entry: types.Entry
+        self, raft: engine.Engine, entry: types.Entry
     ) -> None:
-        before = made.term_at(entry.index - 1)
+        before = raft.term_at(entry.index - 1)
         if before is not None:
-            fact = (entry, before)
+            record = (entry, before)
             key = (entry.index, entry.term)
-            assert self.appended.setdefault(key, fact) == fact, "log matching"
+            assert self.appended.setdefault(key, record) == record, (
+                "log matching"
+            )
 
     def _check_leader(self, host: Host) -> None:
-        made = host.engine
-        assert made is not None
-        known = self.leaders.get(made.term)
-        assert known in (None, host.me), "election safety"
-        if known is None:
-            self.leaders[made.term] = host.me
+        raft = host.engine
+        assert raft is not None
+        expected = self.leaders.get(raft.term)
+        assert expected in (None, host.me), "election safety"
+        if expected is None:
+            self.leaders[raft.term] = host.me
             for index, entry in self.committed.items():
-                term = made.term_at(index)
-                complete = index < made.committed or term == entry.term
+                term = raft.term_at(index)
+                complete = index < raft.committed or term == entry.term
                 assert complete, "leader completeness"
 
-    def change(self, host: Host, new: types.Membership) -> bool:
-        """Proposes a membership; returns whether it was taken."""
+    def change_membership(self, host: Host, new: types.Membership) -> bool:
+        """Proposes a membership; returns whether it was accepted."""
         assert host.engine is not None
         try:
             host.engine.propose_membership(new, self.now)
--- a/laburnumsill/consensus/tests/test_engine.py
+++ b/laburnumsill/consensus/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""Focused tests of the consensus engine."""
+"""Tests of the consensus engine on a simulated group."""
 
 import dataclasses
 
@@ -9,17 +9,17 @@
 from laburnumsill.consensus.tests import simulated_group
 
 
-def elected(vms="abc", disks="ab", seed=1):
+def elected_group(vms="abc", disks="ab", seed=1):
     group = simulated_group.Group(vms, disks, seed)
     return group, group.elect()
 
 
-def settle(group, operation):
+def run_until_done(group, operation):
     group.run_until(lambda: operation.done)
 
 
 def test_elects_replicates_and_reads():
-    group, leader = elected()
+    group, leader = elected_group()
     operations = [group.write(leader, b"v%d" % n) for n in range(50)]
     operations.append(group.read(leader))
     group.run_until(lambda: all(one.done for one in operations))
@@ -32,23 +32,23 @@
     assert raised.value.leader == leader.me.vm
 
 
-def test_late_follower_gets_snapshot_and_tail():
-    group, leader = elected()
-    late = next(x for x in group.hosts.values() if x is not leader)
-    late.crash()
+def test_lagging_follower_receives_snapshot_and_later_entries():
+    group, leader = elected_group()
+    lagging = next(x for x in group.hosts.values() if x is not leader)
+    lagging.crash()
     for n in range(100):
-        settle(group, group.write(leader, b"v%d" % n))
+        run_until_done(group, group.write(leader, b"v%d" % n))
         if n == 80:
             group.run_until(lambda: not leader.outputs)
             leader.snapshot()
-    late.boot()
-    group.run_until(lambda: late.values == leader.values)
-    assert late.engine.term_at(20) is None
+    lagging.boot()
+    group.run_until(lambda: lagging.values == leader.values)
+    assert lagging.engine.term_at(20) is None
 
 
 def test_isolated_leader_steps_down_and_fails_its_reads():
-    group, leader = elected()
-    group.run(1.0)  # the founding membership reaches all
+    group, leader = elected_group()
+    group.run(1.0)  # until every replica has the first membership
     group.isolate(leader.me.vm)
     read = group.read(leader)
     write = group.write(leader, b"x")
@@ -65,7 +65,7 @@
 
 
 def test_transfer():
-    group, leader = elected()
+    group, leader = elected_group()
     target = next(x for x in group.hosts.values() if x is not leader)
     leader.engine.transfer(target.me.vm, group.now)
     group.run_until(lambda: group.leader() is target, 2.0)
@@ -74,11 +74,11 @@
 
 
 def test_no_commit_without_a_synced_disk():
-    group, leader = elected("abcde", "a")
+    group, leader = elected_group("abcde", "a")
     if leader.me.vm != "a":
         leader.engine.transfer("a", group.now)
         group.run_until(lambda: group.leader() is group.hosts["a"])
-    settle(group, group.write(group.leader(), b"x"))
+    run_until_done(group, group.write(group.leader(), b"x"))
     group.hosts["a"].crash()
     group.run_until(lambda: group.leader())
     write = group.write(group.leader(), b"y")
@@ -91,44 +91,46 @@
 def test_messages_to_another_incarnation_are_dropped():
     me = types.ReplicaId("a", "new")
     stored = types.Stored("new", types.HardState(), None, ())
-    group, _ = elected()
-    made = engine.Engine("g", me, stored, engine.Options(), 0.0, group.random)
+    group, _ = elected_group()
+    replica = engine.Engine(
+        "g", me, stored, engine.Options(), 0.0, group.random
+    )
     vote = types.Message(
         types.MessageKind.VOTE, types.ReplicaId("b", "i"), me, 9, index=5
     )
     old = types.ReplicaId("a", "old")
-    made.step(dataclasses.replace(vote, target=old), 0.0)
-    assert not made.take_output().messages
-    made.step(vote, 0.0)
-    output = made.take_output()
+    replica.step(dataclasses.replace(vote, target=old), 0.0)
+    assert not replica.take_output().messages
+    replica.step(vote, 0.0)
+    output = replica.take_output()
     assert output.messages[0].granted and output.hard_state.vote.vm == "b"
-    made.tick(100.0)
-    assert made.role == "learner" and not made.take_output().messages
+    replica.tick(100.0)
+    assert replica.role == "learner" and not replica.take_output().messages
 
 
 def test_membership_rules():
-    group, leader = elected()
-    settle(group, group.write(leader, b"x"))
-    made = leader.engine
-    fresh = types.ReplicaId("d", "i")
-    present = made.membership
+    group, leader = elected_group()
+    run_until_done(group, group.write(leader, b"x"))
+    replica = leader.engine
+    new_replica = types.ReplicaId("d", "i")
+    current = replica.membership
     with pytest.raises(engine.InvalidMembershipError):
-        voters = (*present.voters[1:], fresh)
-        made.propose_membership(types.Membership(voters), group.now)
-    learner = dataclasses.replace(present, learners=(fresh,))
-    made.propose_membership(learner, group.now)
+        voters = (*current.voters[1:], new_replica)
+        replica.propose_membership(types.Membership(voters), group.now)
+    learner = dataclasses.replace(current, learners=(new_replica,))
+    replica.propose_membership(learner, group.now)
     with pytest.raises(engine.MembershipPendingError):
-        made.propose_membership(present, group.now)
+        replica.propose_membership(current, group.now)
 
 
-def test_replacement_then_second_loss():
-    group, _ = elected("abc", "abc")
+def test_voter_replacement_tolerates_a_second_failure():
+    group, _ = elected_group("abc", "abc")
     group.hosts["b"].crash()
     group.elect()
-    fresh = group.add("d").me
+    new_replica = group.add("d").me
     steps = (
-        lambda m: dataclasses.replace(m, learners=(fresh,)),
-        lambda m: types.Membership((*m.voters, fresh), (), m.with_disk),
+        lambda m: dataclasses.replace(m, learners=(new_replica,)),
+        lambda m: types.Membership((*m.voters, new_replica), (), m.with_disk),
         lambda m: types.Membership(
             tuple(x for x in m.voters if x.vm != "b"), (), frozenset("ac")
         ),
@@ -137,7 +139,7 @@
         group.run_until(
             lambda step=step: (
                 group.leader()
-                and group.change(
+                and group.change_membership(
                     group.leader(), step(group.leader().engine.membership)
                 )
             )
@@ -145,32 +147,34 @@
         group.run(1.0)
     group.hosts["a"].crash()
     group.run(4.0)
-    settle(group, group.write(group.leader(), b"after"))
+    run_until_done(group, group.write(group.leader(), b"after"))
 
 
-def test_lost_disk_comes_back_without_a_vote():
-    group, leader = elected("abc", "abc")
+def test_replica_that_lost_its_disk_returns_without_a_vote():
+    group, leader = elected_group("abc", "abc")
     group.run(1.0)
-    loser, late = (x for x in group.hosts.values() if x is not leader)
-    group.isolate(late.me.vm)
+    wiped, lagging = (x for x in group.hosts.values() if x is not leader)
+    group.isolate(lagging.me.vm)
     write = group.write(leader, b"only on two")
-    settle(group, write)
+    run_until_done(group, write)
     leader.crash(seconds=20.0)
-    group.add(loser.me.vm)
+    group.add(wiped.me.vm)
     group.cut.clear()
     group.run(15.0)
     assert group.leader() is None
     group.run(15.0)
     assert group.leader() is leader
-    settle(group, group.read(leader))
-    assert late.values == leader.values == [b"only on two"]
+    run_until_done(group, group.read(leader))
+    assert lagging.values == leader.values == [b"only on two"]
 
 
-def test_removed_leader_hands_over_and_disturbs_no_one():
-    group, leader = elected()
-    settle(group, group.write(leader, b"x"))
-    left = tuple(x for x in leader.engine.membership.voters if x != leader.me)
-    group.change(leader, types.Membership(left))
+def test_removed_leader_transfers_leadership_and_disturbs_no_one():
+    group, leader = elected_group()
+    run_until_done(group, group.write(leader, b"x"))
+    remaining = tuple(
+        x for x in leader.engine.membership.voters if x != leader.me
+    )
+    group.change_membership(leader, types.Membership(remaining))
     group.run(3.0)
     other, term = group.leader(), group.leader().engine.term
     assert leader.engine.role == "learner"
@@ -179,15 +183,17 @@
 
 
 def test_replica_that_missed_its_removal_disturbs_no_one():
-    group, leader = elected()
-    settle(group, group.write(leader, b"x"))
-    gone = next(x for x in group.hosts.values() if x is not leader)
-    group.isolate(gone.me.vm)
-    left = tuple(x for x in leader.engine.membership.voters if x != gone.me)
-    group.change(leader, types.Membership(left))
+    group, leader = elected_group()
+    run_until_done(group, group.write(leader, b"x"))
+    removed = next(x for x in group.hosts.values() if x is not leader)
+    group.isolate(removed.me.vm)
+    remaining = tuple(
+        x for x in leader.engine.membership.voters if x != removed.me
+    )
+    group.change_membership(leader, types.Membership(remaining))
     group.run(1.0)
     term = leader.engine.term
     group.cut.clear()
     group.run(10.0)
     assert (group.leader(), leader.engine.term) == (leader, term)
-    assert gone.engine.role == "candidate"
+    assert removed.engine.role == "candidate"
--- a/laburnumsill/consensus/tests/test_engine_machine.py
+++ b/laburnumsill/consensus/tests/test_engine_machine.py
@@ -1,9 +1,9 @@
-"""The consensus engine under random faults.
+"""Model-based tests of the consensus engine under random faults.
 
-Each example ends with all faults healed, after which the group must commit
-again and all its members must hold the same state. The environment variable
-LABURNUMSILL_ENGINE_EXAMPLES asks for more examples of 50 steps, from a new
-seed each time.
+Each example ends without faults; the group must then commit again, and all
+its members must reach the same state. The environment variable
+LABURNUMSILL_ENGINE_EXAMPLES sets the number of examples, of 50 steps each,
+which are then drawn from a new random seed.
 """
 
 import contextlib
@@ -18,12 +18,12 @@
 from laburnumsill.consensus import types
 from laburnumsill.consensus.tests import simulated_group
 
-MORE = os.environ.get("LABURNUMSILL_ENGINE_EXAMPLES")
+EXAMPLES = os.environ.get("LABURNUMSILL_ENGINE_EXAMPLES")
 STEPS = 50
 SETTINGS = hypothesis.settings(
-    max_examples=int(MORE or 30),
+    max_examples=int(EXAMPLES or 30),
     stateful_step_count=STEPS,
-    derandomize=MORE is None,
+    derandomize=EXAMPLES is None,
     database=None,
     deadline=None,
     suppress_health_check=list(hypothesis.HealthCheck),
@@ -35,7 +35,14 @@
 
 
 class Faults(stateful.RuleBasedStateMachine):
-    """Clients, faults and operators acting on one group."""
+    """Random actions of clients, faults and operators on one group.
+
+    Attributes:
+        vms: VMs of the first voters, one letter each.
+        disks: VMs that have a disk.
+        spare: A VM that is not a member at first.
+        steps: Number of rules run in all examples.
+    """
 
     vms = ""
     disks = ""
@@ -56,7 +63,7 @@
     @stateful.rule(turns=TURNS, load=strategies.sampled_from((0.1, 0.5)))
     def run(self, turns, load):
         self.group.load = load
-        self.go_on(turns)
+        self.advance(turns)
 
     @stateful.rule(number=NUMBERS, count=strategies.integers(1, 20))
     def write(self, number, count):
@@ -64,7 +71,7 @@
         for _ in range(count):
             if host.engine:
                 self.group.write(host, b"burst")
-        self.go_on(2)
+        self.advance(2)
 
     @stateful.rule(
         number=NUMBERS, kept=strategies.integers(0, 4), down=TURNS, turns=TURNS
@@ -75,7 +82,7 @@
             host.crash(kept, down * 0.05)
         else:
             self.lose(host)
-        self.go_on(turns)
+        self.advance(turns)
 
     @stateful.rule(
         kept=strategies.lists(strategies.integers(0, 4), min_size=6),
@@ -84,7 +91,7 @@
     def crash_all_with_disk(self, kept, down):
         for vm, records in zip(self.disks, kept, strict=False):
             self.group.hosts[vm].crash(records, down * 0.05)
-        self.go_on(30)
+        self.advance(30)
 
     @stateful.rule(number=NUMBERS, cut=TURNS, turns=TURNS)
     def lose_disk(self, number, cut, turns):
@@ -92,12 +99,12 @@
         if leader and number % 2:
             self.group.isolate(leader.me.vm, cut * 0.05)
         self.lose(self.host(number))
-        self.go_on(turns)
+        self.advance(turns)
 
     @stateful.rule(number=NUMBERS, paused=TURNS, turns=TURNS)
     def pause(self, number, paused, turns):
         self.host(number).paused_until = self.group.now + paused * 0.05
-        self.go_on(turns)
+        self.advance(turns)
 
     @stateful.rule(
         number=NUMBERS,
@@ -111,27 +118,27 @@
             host = self.host(number + place)
             if host.me.vm in self.disks:
                 host.full_until = until
-        self.go_on(turns)
+        self.advance(turns)
 
     @stateful.rule(one=NUMBERS, other=NUMBERS, cut=TURNS, turns=TURNS)
     def cut(self, one, other, cut, turns):
         pair = frozenset((self.host(one).me.vm, self.host(other).me.vm))
         self.group.cut[pair] = self.group.now + cut * 0.05
-        self.go_on(turns)
+        self.advance(turns)
 
     @stateful.rule(number=NUMBERS, cut=TURNS, turns=TURNS)
     def isolate(self, number, cut, turns):
         leader = self.group.leader()
         host = leader if leader and number % 2 else self.host(number)
         self.group.isolate(host.me.vm, cut * 0.05)
-        self.go_on(turns)
+        self.advance(turns)
 
     @stateful.rule(loss=RATES, duplicates=RATES, delay=RATES)
     def degrade(self, loss, duplicates, delay):
         self.group.loss = loss
         self.group.duplicates = duplicates
         self.group.delay = delay
-        self.go_on(5)
+        self.advance(5)
 
     @stateful.rule(number=NUMBERS)
     def transfer(self, number):
@@ -140,7 +147,7 @@
             vm = self.host(number).me.vm
             with contextlib.suppress(*REFUSALS):
                 leader.engine.transfer(vm, self.group.now)
-        self.go_on(5)
+        self.advance(5)
 
     @stateful.rule(number=NUMBERS, turns=TURNS)
     def change_membership(self, number, turns):
@@ -148,30 +155,34 @@
         if leader:
             choices = list(self.changes(leader.engine.membership))
             if choices:
-                self.group.change(leader, choices[number % len(choices)])
-        self.go_on(turns)
+                self.group.change_membership(
+                    leader, choices[number % len(choices)]
+                )
+        self.advance(turns)
 
-    def go_on(self, turns):
+    def advance(self, turns):
         type(self).steps += 1
         self.group.run(turns * 0.05)
 
-    def changes(self, old):
-        """Yields the memberships an operator could ask for now."""
-        members = (*old.voters, *old.learners)
+    def changes(self, current):
+        """Yields the memberships that an operator could propose now."""
+        members = (*current.voters, *current.learners)
         live = {host.me for host in self.group.hosts.values()}
         for me in sorted(live - set(members)):
-            yield self.with_disks(old.voters, (*old.learners, me))
-        for me in old.learners:
-            rest = tuple(one for one in old.learners if one != me)
-            yield self.with_disks(old.voters, rest)
+            yield self.with_disks(current.voters, (*current.learners, me))
+        for me in current.learners:
+            rest = tuple(one for one in current.learners if one != me)
+            yield self.with_disks(current.voters, rest)
             if me in live:
-                yield self.with_disks((*old.voters, me), rest)
-        for me in old.voters:
-            rest = tuple(one for one in old.voters if one != me)
+                yield self.with_disks((*current.voters, me), rest)
+        for me in current.voters:
+            rest = tuple(one for one in current.voters if one != me)
             lost = sum(one not in live for one in rest)
-            lasting = len(rest) >= 3 and lost <= (len(rest) - 1) // 2
-            if lasting and any(x.vm in self.disks for x in rest if x in live):
-                yield self.with_disks(rest, old.learners)
+            survivable = len(rest) >= 3 and lost <= (len(rest) - 1) // 2
+            if survivable and any(
+                x.vm in self.disks for x in rest if x in live
+            ):
+                yield self.with_disks(rest, current.learners)
 
     def with_disks(self, voters, learners):
         vms = {one.vm for one in (*voters, *learners)}
@@ -179,7 +190,11 @@
         return types.Membership(voters, learners, disks)
 
     def lose(self, host):
-        """Loses a replica's state if every majority survives that."""
+        """Replaces a replica by an empty one if the group tolerates the loss.
+
+        In every membership in effect, a majority of the voters and one of the
+        disks must stay.
+        """
         live = {one.me for one in self.group.hosts.values()} - {host.me}
         for known in self.memberships():
             lost = sum(one not in live for one in known.voters)
@@ -192,7 +207,7 @@
             self.group.add(host.me.vm)
 
     def memberships(self):
-        """Yields each membership that some replica goes by."""
+        """Yields each membership that is in effect at some replica."""
         for host in self.group.hosts.values():
             stored = host.disk.stored
             yield log.Log(stored.snapshot, stored.entries).membership
@@ -206,21 +221,21 @@
         for host in group.hosts.values():
             host.paused_until = host.boot_at = host.full_until = 0.0
         group.run(4.0)
-        group.run_until(lambda: self.last_write(), 60.0)
+        group.run_until(lambda: self.last_write_done(), 60.0)
         group.run_until(self.converged, 30.0)
 
     def converged(self):
         leader = self.group.leader()
         if leader is None:
             return False
-        members = leader.engine.membership
+        current = leader.engine.membership
         return all(
             host.values == leader.values
             for host in self.group.hosts.values()
-            if host.me in (*members.voters, *members.learners)
+            if host.me in (*current.voters, *current.learners)
         )
 
-    def last_write(self):
+    def last_write_done(self):
         leader = self.group.leader()
         write = leader and self.group.write(leader, b"last")
         self.group.run(1.0)
--- a/laburnumsill/consensus/tests/test_engine_rules.py
+++ b/laburnumsill/consensus/tests/test_engine_rules.py
@@ -1,4 +1,4 @@
-"""Single rules of the engine, each brought about by a few messages."""
+"""Tests of single rules of the engine, driven by a few messages each."""
 
 import dataclasses
 import random
@@ -29,7 +29,7 @@
 FOUNDING = membership_entry(1, 1, THREE)
 
 
-def made(hard_state, *entries):
+def new_engine(hard_state, *entries):
     log = (FOUNDING, *entries)
     stored = types.Stored("i", hard_state, None, log, with_disk=True)
     options = engine.Options()
@@ -37,13 +37,13 @@
 
 
 def send(target, kind, source, term, **fields):
-    """Returns the output of the step."""
+    """Steps `target` with a message from `source`; returns the output."""
     target.step(types.Message(kind, source, A, term, **fields), 0.1)
     return target.take_output()
 
 
-def lead(target):
-    """Makes `target` campaign and win; returns its last output."""
+def win_election(target):
+    """Makes `target` campaign and win; returns the output after that."""
     target.tick(10.0)
     term = target.term + 1
     send(target, KIND.PRE_VOTE_REPLY, B, term, granted=True)
@@ -51,22 +51,22 @@
 
 
 def test_vote_is_synced_before_it_is_sent_and_survives_a_restart():
-    voter = made(types.HardState(1, None))
+    voter = new_engine(types.HardState(1, None))
     output = send(voter, KIND.VOTE, B, 5, index=1, log_term=1)
     assert output.messages[0].granted
     assert output.hard_state == types.HardState(5, B)
-    again = made(output.hard_state)
-    output = send(again, KIND.VOTE, C, 5, index=9, log_term=4)
+    restarted = new_engine(output.hard_state)
+    output = send(restarted, KIND.VOTE, C, 5, index=9, log_term=4)
     assert not output.messages[0].granted
-    late = made(types.HardState(5, None))
-    output = send(late, KIND.VOTE, B, 5, index=1, log_term=1)
+    without_vote = new_engine(types.HardState(5, None))
+    output = send(without_vote, KIND.VOTE, B, 5, index=1, log_term=1)
     assert output.hard_state == types.HardState(5, B)
-    output = send(late, KIND.APPEND, C, 6, index=1, log_term=1)
+    output = send(without_vote, KIND.APPEND, C, 6, index=1, log_term=1)
     assert output.hard_state == types.HardState(6, None)
 
 
-def test_follower_of_a_live_leader_ignores_a_vote_it_did_not_order():
-    follower = made(types.HardState(2, None))
+def test_follower_of_a_live_leader_ignores_a_vote_without_a_transfer():
+    follower = new_engine(types.HardState(2, None))
     send(follower, KIND.HEARTBEAT, B, 2)
     vote = {"index": 9, "log_term": 2}
     assert send(follower, KIND.VOTE, C, 3, **vote) == types.Output()
@@ -75,9 +75,9 @@
 
 
 def test_entry_of_an_older_term_is_not_committed_by_counting():
-    leader = made(types.HardState(3, None), entry(2, 2))
+    leader = new_engine(types.HardState(3, None), entry(2, 2))
     send(leader, KIND.HEARTBEAT, B, 3, commit=1)
-    lead(leader)
+    win_election(leader)
     assert (leader.role, leader.term) == ("leader", 4)
     leader.synced(3, 4)
     send(leader, KIND.APPEND_REPLY, B, 4, granted=True, index=2)
@@ -93,15 +93,15 @@
     assert output.reads == (types.ConfirmedRead(read, 3),)
 
 
-def test_follower_commits_only_what_it_has_compared():
-    follower = made(types.HardState(2, None), entry(2, 2, b"old"))
+def test_follower_commits_only_entries_that_match_the_leader():
+    follower = new_engine(types.HardState(2, None), entry(2, 2, b"old"))
     send(follower, KIND.APPEND, B, 3, index=1, log_term=1, commit=2)
     assert follower.committed == 1
 
 
-def test_replaced_membership_is_undone():
+def test_membership_in_a_replaced_entry_is_undone():
     two = dataclasses.replace(THREE, voters=(A, B))
-    follower = made(types.HardState(2, None), membership_entry(2, 2, two))
+    follower = new_engine(types.HardState(2, None), membership_entry(2, 2, two))
     assert follower.membership == two
     other = (entry(2, 3),)
     send(follower, KIND.APPEND, C, 3, index=1, log_term=1, entries=other)
@@ -110,10 +110,12 @@
 
 def test_leader_whose_removal_is_not_committed_can_lead_again():
     others = dataclasses.replace(THREE, voters=(B, C), with_disk=frozenset())
-    leader = made(types.HardState(2, None), membership_entry(2, 2, others))
+    leader = new_engine(
+        types.HardState(2, None), membership_entry(2, 2, others)
+    )
     leader.tick(10.0)
     send(leader, KIND.PRE_VOTE_REPLY, B, 3, granted=True)
-    assert leader.role == "candidate", "its own support does not count"
+    assert leader.role == "candidate", "its own vote does not count"
     send(leader, KIND.PRE_VOTE_REPLY, C, 3, granted=True)
     for voter in (B, C):
         send(leader, KIND.VOTE_REPLY, voter, 3, granted=True)
@@ -127,13 +129,13 @@
     assert not leader.take_output().messages
 
 
-def test_sync_of_a_replaced_entry_does_not_count():
-    replica = made(types.HardState(1, None))
-    place = {"index": 1, "log_term": 1}
+def test_sync_of_a_replaced_entry_is_ignored():
+    replica = new_engine(types.HardState(1, None))
+    position = {"index": 1, "log_term": 1}
     old = (entry(2, 2), entry(3, 2))
-    send(replica, KIND.APPEND, B, 2, entries=old, **place)
-    send(replica, KIND.APPEND, C, 3, entries=(entry(2, 3),), **place)
-    lead(replica)
+    send(replica, KIND.APPEND, B, 2, entries=old, **position)
+    send(replica, KIND.APPEND, C, 3, entries=(entry(2, 3),), **position)
+    win_election(replica)
     send(replica, KIND.APPEND_REPLY, B, 4, granted=True, index=3)
     replica.synced(3, 2)
     assert replica.committed == 0
@@ -142,16 +144,16 @@
 
 
 def test_committed_entry_is_never_replaced():
-    follower = made(types.HardState(2, None), entry(2, 2))
+    follower = new_engine(types.HardState(2, None), entry(2, 2))
     send(follower, KIND.HEARTBEAT, B, 2, commit=2)
     other = (entry(2, 3),)
     with pytest.raises(engine.LogBrokenError):
         send(follower, KIND.APPEND, C, 3, index=1, log_term=1, entries=other)
 
 
-def test_idle_leader_sends_one_heartbeat_a_period_to_each():
-    leader = made(types.HardState(1, None))
-    lead(leader)
+def test_idle_leader_sends_one_heartbeat_per_interval_to_each_member():
+    leader = new_engine(types.HardState(1, None))
+    win_election(leader)
     leader.synced(2, 2)
     for member in (B, C):
         send(leader, KIND.APPEND_REPLY, member, 2, granted=True, index=2)
@@ -168,27 +170,27 @@
     assert len(sent) == 2 * 8
 
 
-def test_a_member_catches_up_though_reads_come_all_the_time():
+def test_lagging_member_catches_up_under_continuous_reads():
     group = simulated_group.Group("abc", "abc", 5)
     leader = group.elect()
-    behind = next(vm for vm in "abc" if vm != leader.me.vm)
+    lagging = next(vm for vm in "abc" if vm != leader.me.vm)
 
-    def use(seconds):
+    def generate_load(seconds):
         for _ in range(round(seconds / 0.05)):
             group.write(leader, b"x")
             group.read(leader)
             group.run(0.05)
 
-    use(1.0)
-    group.isolate(behind, 4.0)  # what is on its way then is lost
-    use(6.0)
-    progress = leader.engine.progress[group.hosts[behind].me]
+    generate_load(1.0)
+    group.isolate(lagging, 4.0)  # messages in flight are lost
+    generate_load(6.0)
+    progress = leader.engine.progress[group.hosts[lagging].me]
     assert progress.match >= leader.engine.committed - 5
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_what_was_acknowledged_outlives_a_lost_disk_and_a_power_loss(seed):
-    """One disk is lost right then, and all others lose what is not synced."""
+def test_acknowledged_entry_survives_a_disk_loss_and_a_power_loss(seed):
+    """One disk is lost, and all other VMs lose their unsynced writes."""
     group = simulated_group.Group("abc", "abc", seed)
     group.load = 0.5
     leader = group.elect()
@@ -202,7 +204,7 @@
             entry.data == b"acknowledged" for entry in host.disk.stored.entries
         )
     ]
-    assert len(synced) >= 2, "one synced disk may be the one that is lost"
+    assert len(synced) >= 2, "the only synced disk may be the one that is lost"
     lost = synced[0]
     for vm, host in group.hosts.items():
         if vm != lost:
@@ -216,22 +218,22 @@
         assert b"acknowledged" in host.values
 
 
-def test_an_entry_on_one_synced_disk_is_not_acknowledged():
-    """The follower that is left takes the entry and its disk hangs."""
+def test_entry_on_one_synced_disk_is_not_acknowledged():
+    """The only follower receives the entry, but its disk hangs."""
     group = simulated_group.Group("abc", "abc", 3)
     leader = group.elect()
     group.run(1.0)
     hanging, dead = (h for h in group.hosts.values() if h is not leader)
     dead.crash()
-    hanging._carry_out = lambda output: None
+    hanging._execute = lambda output: None
     operation = group.write(leader, b"held by two, synced by one")
     group.run(3.0)
     assert hanging.engine.last_index >= operation.index
     assert not operation.done
 
 
-def test_a_replica_that_can_not_write_promises_nothing():
-    follower = made(types.HardState(2, None))
+def test_unwritable_replica_grants_and_accepts_nothing():
+    follower = new_engine(types.HardState(2, None))
     send(follower, KIND.HEARTBEAT, B, 2)
     follower.set_writable(False)
     ask = {"index": 9, "log_term": 2}
@@ -249,8 +251,8 @@
     assert send(follower, KIND.APPEND, B, 2, **more).append == (entry(2, 2),)
 
 
-def test_a_replica_that_can_not_write_follows_and_says_so():
-    follower = made(types.HardState(2, None))
+def test_unwritable_replica_follows_and_reports_it():
+    follower = new_engine(types.HardState(2, None))
     follower.set_writable(False)
     output = send(follower, KIND.HEARTBEAT, B, 2, round=3)
     assert output.messages[0].full
@@ -259,9 +261,9 @@
     assert follower.leader == C
 
 
-def test_a_leader_that_can_not_write_hands_over_to_one_that_can():
-    leader = made(types.HardState(1, None))
-    lead(leader)
+def test_unwritable_leader_refuses_proposals_without_a_writable_majority():
+    leader = new_engine(types.HardState(1, None))
+    win_election(leader)
     leader.set_writable(False)
     send(leader, KIND.HEARTBEAT_REPLY, B, 2, full=True)
     assert not leader.can_commit
@@ -269,7 +271,7 @@
         leader.propose(b"x", 0.1)
 
 
-def test_the_lead_goes_over_once_the_others_have_committed_its_log():
+def test_unwritable_leader_transfers_once_the_others_committed_its_log():
     everyone = dataclasses.replace(THREE, with_disk=frozenset("abc"))
     stored = types.Stored(
         "i",
@@ -281,7 +283,7 @@
     leader = engine.Engine(
         "g", A, stored, engine.Options(), 0.0, random.Random(1)
     )
-    lead(leader)
+    win_election(leader)
     leader.set_writable(False)
     held = {"granted": True, "index": 2, "synced": 2}
     output = send(leader, KIND.APPEND_REPLY, B, 2, **held)
@@ -294,9 +296,9 @@
     assert leader.committed == 2
 
 
-def test_a_leader_whose_followers_can_not_write_refuses_at_once():
-    leader = made(types.HardState(1, None))
-    lead(leader)
+def test_leader_refuses_proposals_while_no_follower_can_write():
+    leader = new_engine(types.HardState(1, None))
+    win_election(leader)
     for member in (B, C):
         send(leader, KIND.HEARTBEAT_REPLY, member, 2, full=True)
     with pytest.raises(engine.NoRoomError):
@@ -306,9 +308,9 @@
     leader.propose(b"x", 0.1)
 
 
-def test_a_member_that_can_not_write_is_sent_no_entries_until_it_can():
-    leader = made(types.HardState(1, None))
-    lead(leader)
+def test_unwritable_member_is_sent_no_entries():
+    leader = new_engine(types.HardState(1, None))
+    win_election(leader)
     for member in (B, C):
         send(leader, KIND.APPEND_REPLY, member, 2, granted=True, index=2)
     send(leader, KIND.HEARTBEAT_REPLY, B, 2, full=True)
@@ -319,9 +321,9 @@
     assert [one.target for one in output.messages if one.entries] == [B]
 
 
-def test_what_a_full_member_dropped_is_sent_again_once_it_can_write():
-    leader = made(types.HardState(1, None))
-    lead(leader)
+def test_entries_dropped_by_a_full_member_are_retransmitted():
+    leader = new_engine(types.HardState(1, None))
+    win_election(leader)
     for member in (B, C):
         send(leader, KIND.APPEND_REPLY, member, 2, granted=True, index=2)
     leader.propose(b"x", 0.1)
@@ -332,12 +334,12 @@
     assert [(one.target, one.entries[0].data) for one in again] == [(B, b"x")]
 
 
-def test_followers_of_a_leader_that_reads_all_the_time_miss_it_soon():
-    """The load: callers ask for states until the moment the leader is lost.
+def test_election_timeout_stays_short_under_continuous_reads():
+    """Reads do not postpone the periodic heartbeats of the leader.
 
-    Each read sends a round of heartbeats. One that put off the next regular
-    one left gaps of nearly two periods at the host's common moments, from
-    which followers learnt to wait twice as long.
+    Each read sends a round of heartbeats. If that round postponed the next
+    periodic one, gaps of nearly two heartbeat intervals would appear, as the
+    host aligns its ticks, and the election timeout would double.
     """
     options = engine.Options(0.8, 0.1)
     stored = types.Stored(
@@ -353,7 +355,7 @@
     leader.step(first, 10.0)
     assert leader.committed == 2
     source = random.Random(7)
-    learnt = patience.ElectionTimeout(options)
+    election_timeout = patience.ElectionTimeout(options)
     now, read_at = 10.0, 10.25
     while now < 40.0:
         wanted = leader.next_tick()
@@ -367,11 +369,11 @@
         sent = [one for one in leader.take_output().messages if one.target == B]
         if not any(one.kind is KIND.HEARTBEAT for one in sent):
             continue
-        learnt.on_leader_message(now)
+        election_timeout.on_leader_message(now)
         for member in (B, C):
             answer = types.Message(
                 KIND.HEARTBEAT_REPLY, member, A, 2, round=sent[-1].round
             )
             leader.step(answer, now)
     assert leader.role == "leader"
-    assert learnt.seconds == pytest.approx(0.3, abs=0.05)
+    assert election_timeout.seconds == pytest.approx(0.3, abs=0.05)
--- a/laburnumsill/consensus/tests/test_lead_watch.py
+++ b/laburnumsill/consensus/tests/test_lead_watch.py
@@ -1,4 +1,4 @@
-"""How long calls wait for a leader while none is there."""
+"""Tests of the time limits for calls while a group has no leader."""
 
 import pytest
 import trio
@@ -13,18 +13,19 @@
 from laburnumsill.core import trio_clock
 
 COMMIT_S = 0.012
-SAYING_SO_S = 0.03
+REFUSAL_DELAY_S = 0.03
 COMMAND = forwarded.Answer()
 """Any message that can be encoded."""
 
 
 class CorePeers(replication.Peers):
-    """Three core VMs, of which one leads until it is lost.
+    """Three core VMs, one of which leads until it fails.
 
     Attributes:
-        leader: The VM that leads, "" for none.
-        named: Whom the others name as the leader.
-        asked: How often any VM was asked.
+        leader: VM of the leader, "" for none.
+        named: VM that the others name as the leader, or None.
+        silent: VMs that do not answer.
+        asked: Number of calls.
     """
 
     def __init__(self) -> None:
@@ -57,20 +58,26 @@
         return frozenset("abc")
 
 
-def groups_over(peers: CorePeers) -> remote.RemoteGroups:
+def remote_groups(peers: CorePeers) -> remote.RemoteGroups:
     clock = trio_clock.TrioClock(1_700_000_000.0)
     return remote.RemoteGroups("front", peers, clock, lambda: ["a", "b", "c"])
 
 
 async def propose(groups: remote.RemoteGroups) -> float:
-    """Returns how long a command took, with a wait that is long enough."""
+    """Proposes a command with a deadline of 3 s; returns the time taken."""
     began = trio.current_time()
     await groups.propose("g", COMMAND, began + 3.0)
     return trio.current_time() - began
 
 
 async def lose_leader(peers: CorePeers, groups, for_s: float) -> None:
-    """Warms up, has the leader freeze, and lets another one lead later."""
+    """Makes some calls, freezes the leader, and elects another one later.
+
+    Args:
+        peers: The VMs.
+        groups: The groups to call.
+        for_s: Seconds until the next leader is elected.
+    """
     for _ in range(10):
         await propose(groups)
     peers.leader = ""
@@ -78,38 +85,38 @@
 
     async def elect() -> None:
         await trio.sleep(0.3)
-        peers.named = None  # the others miss it
+        peers.named = None  # the others have detected the failure
         await trio.sleep(for_s - 0.3)
         peers.leader = peers.named = "b"
 
     trio.lowlevel.spawn_system_task(elect)
 
 
-async def test_a_call_is_taken_in_as_soon_as_there_is_a_new_leader(
+async def test_call_succeeds_soon_after_the_election_of_a_new_leader(
     autojump_clock,
 ):
-    """The load: urgent jobs come while the leader has just frozen."""
+    """Urgent jobs arrive just after the leader has frozen."""
     peers = CorePeers()
-    groups = groups_over(peers)
+    groups = remote_groups(peers)
     await lose_leader(peers, groups, 0.5)
     took_s = []
 
-    async def come(after_s: float) -> None:
+    async def propose_after(after_s: float) -> None:
         await trio.sleep(after_s)
         took_s.append(after_s + await propose(groups))
 
     async with trio.open_nursery() as nursery:
         for number in range(10):
-            nursery.start_soon(come, 0.05 * number)
-    # Half a pause of 50 ms and one attempt at the VM that froze come on top.
+            nursery.start_soon(propose_after, 0.05 * number)
+    # In addition: half a pause of 50 ms and one attempt at the frozen VM.
     assert max(took_s) < 0.5 + 0.2
 
 
-async def test_calls_are_refused_at_once_while_nobody_leads_for_long(
+async def test_calls_are_refused_quickly_during_a_long_leader_outage(
     autojump_clock,
 ):
     peers = CorePeers()
-    groups = groups_over(peers)
+    groups = remote_groups(peers)
     await lose_leader(peers, groups, 60.0)
     with pytest.raises(errors.LaburnumsillError):
         await propose(groups)
@@ -120,9 +127,9 @@
     assert trio.current_time() - began < 0.5
 
 
-async def test_a_leader_that_lost_one_message_is_found_again(autojump_clock):
+async def test_leader_that_missed_one_call_is_called_again(autojump_clock):
     peers = CorePeers()
-    groups = groups_over(peers)
+    groups = remote_groups(peers)
     for _ in range(10):
         await propose(groups)
     peers.silent = {"a"}
@@ -136,7 +143,7 @@
 
 
 class FreezingPeers(CorePeers):
-    """The leader confirms its lead, and freezes at the command after that."""
+    """The leader confirms its leadership and freezes at the next command."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -152,16 +159,16 @@
         return await super().call(vm, request, deadline)
 
 
-async def test_an_unknown_outcome_is_asked_about_until_it_is_known(
+async def test_command_with_unknown_outcome_is_resent_until_it_is_known(
     autojump_clock,
 ):
-    """The load: the leader freezes just when a command has been sent to it.
+    """The leader freezes just after a command was sent to it.
 
-    Its caller could not safely try again, so it is sent anew, which changes
-    nothing if it was carried out, for as long as the caller waits.
+    The caller cannot safely retry, so the command is resent until the caller's
+    deadline; it is idempotent.
     """
     peers = FreezingPeers()
-    groups = groups_over(peers)
+    groups = remote_groups(peers)
     for _ in range(10):
         await propose(groups)
     peers.freezes = True
@@ -175,16 +182,16 @@
     assert 2.0 < await propose(groups) < 2.6
 
 
-async def test_no_command_is_sent_to_a_leader_that_does_not_confirm_its_lead(
+async def test_no_command_is_sent_without_confirmed_leadership(
     autojump_clock,
 ):
-    """The load: calls come while the leader has just lost power.
+    """Calls arrive just after the leader has lost power.
 
-    What was not sent is known not to be carried out, so a caller is told that
-    its job does not run, and may try again at once.
+    A command that was not sent was certainly not executed, so its caller is
+    refused and may retry at once.
     """
     peers = FreezingPeers()
-    groups = groups_over(peers)
+    groups = remote_groups(peers)
     for _ in range(10):
         await propose(groups)
     peers.leader, peers.silent, peers.named = "", {"a"}, None
@@ -196,11 +203,11 @@
     assert peers.commands == []
 
 
-async def test_what_was_certainly_not_taken_is_refused_long_before_its_deadline(
+async def test_unsent_command_is_refused_before_its_deadline(
     autojump_clock,
 ):
     peers = CorePeers()
-    groups = groups_over(peers)
+    groups = remote_groups(peers)
     for _ in range(10):
         await propose(groups)
     peers.leader = ""
@@ -212,31 +219,31 @@
 
 
 class SlowPeers(CorePeers):
-    """Nobody leads, and saying so takes a busy VM a while."""
+    """No VM leads, and busy VMs take `REFUSAL_DELAY_S` to refuse a call."""
 
     async def call(self, vm, request, deadline):
         left_s = deadline - trio.current_time()
-        await trio.sleep(min(SAYING_SO_S, max(0.0, left_s)))
-        if left_s < SAYING_SO_S:
+        await trio.sleep(min(REFUSAL_DELAY_S, max(0.0, left_s)))
+        if left_s < REFUSAL_DELAY_S:
             raise errors.OutcomeUnknownError(f"{vm}: no reply came")
         raise engines.NotLeaderError(vm, leader=None)
 
 
 @pytest.mark.parametrize("within_s", [0.2 + 0.01 * n for n in range(40)])
-async def test_what_nobody_took_is_refused_and_not_unknown(
+async def test_command_without_a_leader_is_refused_and_not_unknown(
     within_s, autojump_clock
 ):
-    """The load: a caller asks while nobody leads, until its time is up.
+    """A caller waits for a leader until its deadline.
 
-    An attempt just before the end has no answer, and its caller would hear
-    that the command may have been carried out.
+    An attempt shortly before the deadline gets no answer; the caller must not
+    be told that the command may have been executed.
     """
-    groups = groups_over(SlowPeers())
+    groups = remote_groups(SlowPeers())
     with pytest.raises(errors.NoQuorumError):
         await groups.propose("g", COMMAND, trio.current_time() + within_s)
 
 
-def test_a_slow_disk_is_given_its_time():
+def test_attempt_timeout_follows_slow_answers():
     watch = lead_watch.LeadWatch(0.3)
     assert watch.attempt_s == 0.3
     for number in range(20):
@@ -248,7 +255,7 @@
     assert watch.attempt_s == 0.3
 
 
-def test_a_leader_that_answers_is_not_missed_any_more():
+def test_answer_of_a_leader_ends_the_outage():
     watch = lead_watch.LeadWatch(0.3)
     watch.missed(10.0)
     watch.missed(10.9)
--- a/laburnumsill/consensus/tests/test_patience.py
+++ b/laburnumsill/consensus/tests/test_patience.py
@@ -1,4 +1,4 @@
-"""How soon a silent leader is missed, and that a slow one is not."""
+"""Tests of the adaptive election timeout."""
 
 import random
 
@@ -11,8 +11,8 @@
 OPTIONS = options_module.Options(0.8, 0.1)
 
 
-def after(*gaps: float) -> patience.ElectionTimeout:
-    """Returns the patience of a follower that saw these gaps."""
+def timeout_after(*gaps: float) -> patience.ElectionTimeout:
+    """Returns the election timeout of a follower after these gaps."""
     timeout = patience.ElectionTimeout(OPTIONS)
     now = 100.0
     timeout.on_leader_message(now)
@@ -22,36 +22,36 @@
     return timeout
 
 
-def test_nothing_is_learnt_from_a_few_messages():
-    assert after(0.1, 0.1).seconds == 0.8
+def test_few_messages_leave_the_maximum_timeout():
+    assert timeout_after(0.1, 0.1).seconds == 0.8
 
 
-def test_a_regular_leader_is_missed_after_three_heartbeats():
-    assert after(*[0.1] * 50).seconds == pytest.approx(0.3)
+def test_timeout_of_a_regular_leader_is_three_heartbeats():
+    assert timeout_after(*[0.1] * 50).seconds == pytest.approx(0.3)
 
 
-def test_a_busy_leader_is_given_three_heartbeats_too():
-    assert after(*[0.002] * 500).seconds == pytest.approx(0.3)
+def test_timeout_of_a_busy_leader_is_three_heartbeats_too():
+    assert timeout_after(*[0.002] * 500).seconds == pytest.approx(0.3)
 
 
-def test_a_leader_that_was_held_up_is_given_more():
-    held_up = after(*[0.1] * 20, 0.2, *[0.1] * 20)
-    assert held_up.seconds == pytest.approx(0.6)
+def test_delayed_message_raises_the_timeout():
+    delayed = timeout_after(*[0.1] * 20, 0.2, *[0.1] * 20)
+    assert delayed.seconds == pytest.approx(0.6)
 
 
-def test_patience_has_an_end():
-    assert after(*[0.1] * 20, 0.7, *[0.1] * 5).seconds == 0.8
+def test_timeout_is_limited():
+    assert timeout_after(*[0.1] * 20, 0.7, *[0.1] * 5).seconds == 0.8
 
 
-def test_what_held_the_leader_up_long_ago_is_forgotten():
+def test_old_delays_are_forgotten():
     beats = int(learnt_wait.REMEMBERED_S / 0.1) + 2
-    assert after(*[0.1] * 9, 0.25, *[0.1] * beats).seconds == (
+    assert timeout_after(*[0.1] * 9, 0.25, *[0.1] * beats).seconds == (
         pytest.approx(0.3)
     )
 
 
-def test_the_silence_between_two_leaders_is_no_gap():
-    timeout = after(*[0.1] * 20)
+def test_interval_between_two_leaders_is_no_gap():
+    timeout = timeout_after(*[0.1] * 20)
     timeout.reset()
     timeout.on_leader_message(110.0)
     timeout.on_leader_message(110.1)
@@ -59,22 +59,22 @@
 
 
 @pytest.mark.parametrize(
-    "delay_s, lost",
+    "delay_s, loss",
     [(0.001, 0.0), (0.003, 0.05), (0.15, 0.0), (0.1, 0.02)],
     ids=["quiet", "lossy", "slow disk", "held up"],
 )
-def test_a_leader_that_is_there_is_seldom_missed(delay_s, lost):
-    """Heartbeats that come late by up to a delay, some of them lost."""
+def test_live_leader_rarely_times_out(delay_s, loss):
+    """Heartbeats are delayed by up to `delay_s`, and some are lost."""
     source = random.Random(7)
     timeout = patience.ElectionTimeout(OPTIONS)
     heard_at = 0.0
-    missed = 0
+    timeouts = 0
     for beat in range(1, 6_000):
-        if source.random() < lost:
+        if source.random() < loss:
             continue
         now = max(heard_at, 0.1 * beat + source.uniform(0, delay_s))
-        missed += beat > 1 and now - heard_at > timeout.seconds
+        timeouts += beat > 1 and now - heard_at > timeout.seconds
         timeout.on_leader_message(now)
         heard_at = now
-    # In ten minutes.
-    assert missed <= (1 if lost else 0)
+    # Limits for ten minutes of heartbeats.
+    assert timeouts <= (1 if loss else 0)
--- a/laburnumsill/consensus/tests/test_voter_choice.py
+++ b/laburnumsill/consensus/tests/test_voter_choice.py
@@ -1,27 +1,29 @@
+"""Tests of the choice of voters and learners."""
+
 from laburnumsill.consensus import voter_choice
 
 NOW = 100.0
 
 
 def desired(voters, silent=(), learners=(), asking=None, wanted=3):
-    heard = {
+    heard_at = {
         vm: NOW - 10 if vm in silent else NOW for vm in (*voters, *learners)
     }
     view = voter_choice.VoterView(
-        tuple(voters), tuple(learners), heard, asking or {}, NOW
+        tuple(voters), tuple(learners), heard_at, asking or {}, NOW
     )
     return voter_choice.VoterChoice(wanted).desired(view)
 
 
-def test_nothing_changes_while_all_are_there():
+def test_live_voters_are_kept():
     assert desired("abc", asking={"d": NOW}) == ("a", "b", "c")
 
 
-def test_a_silent_voter_stays_without_a_spare():
+def test_silent_voter_stays_without_a_spare():
     assert set(desired("abc", silent="c")) == {"a", "b", "c"}
 
 
-def test_a_spare_that_is_gone_itself_is_no_spare():
+def test_silent_spare_does_not_replace_a_voter():
     assert set(desired("abc", silent="c", asking={"d": NOW - 9})) == {
         "a",
         "b",
@@ -29,12 +31,12 @@
     }
 
 
-def test_a_spare_that_has_the_log_goes_first():
-    found = desired("abc", silent="c", learners="e", asking={"d": NOW})
-    assert found == ("a", "b", "e")
+def test_learner_is_preferred_to_other_spares():
+    chosen = desired("abc", silent="c", learners="e", asking={"d": NOW})
+    assert chosen == ("a", "b", "e")
 
 
-def test_a_voter_that_lost_its_disk_and_asks_again_is_no_loss():
+def test_voter_that_asks_to_join_again_is_not_replaced():
     assert desired("abc", silent="c", asking={"c": NOW, "d": NOW}) == (
         "a",
         "b",
@@ -42,7 +44,7 @@
     )
 
 
-def test_voters_that_are_missing_are_filled_up():
+def test_missing_voters_are_added():
     assert desired("ab", asking={"c": NOW}) == ("a", "b", "c")
     assert desired("abc", asking={"d": NOW, "e": NOW}, wanted=5) == (
         "a",
@@ -53,22 +55,24 @@
     )
 
 
-def prepared(voters, quiet="", learners="", asking=""):
-    heard = {vm: NOW - 1 if vm in quiet else NOW for vm in (*voters, *learners)}
-    asked = dict.fromkeys(asking, NOW)
+def prepared(voters, silent="", learners="", asking=""):
+    heard_at = {
+        vm: NOW - 1 if vm in silent else NOW for vm in (*voters, *learners)
+    }
+    asked_at = dict.fromkeys(asking, NOW)
     view = voter_choice.VoterView(
-        tuple(voters), tuple(learners), heard, asked, NOW
+        tuple(voters), tuple(learners), heard_at, asked_at, NOW
     )
     return voter_choice.VoterChoice(len(voters)).prepared(view)
 
 
-def test_a_spare_learns_the_log_before_it_is_needed():
+def test_spare_becomes_a_learner_for_a_silent_voter():
     assert prepared("abc", asking="d") == ()
-    assert prepared("abc", quiet="c", asking="d") == ("d",)
-    assert prepared("abc", quiet="c", asking="de") == ("d",)
-    assert prepared("abcde", quiet="ce", asking="fg") == ("f", "g")
+    assert prepared("abc", silent="c", asking="d") == ("d",)
+    assert prepared("abc", silent="c", asking="de") == ("d",)
+    assert prepared("abcde", silent="ce", asking="fg") == ("f", "g")
 
 
-def test_who_learns_the_log_goes_on_though_a_new_leader_has_missed_nobody():
+def test_learners_stay_without_silent_voters():
     assert prepared("abc", learners="d", asking="e") == ("d",)
     assert prepared("abcde", learners="fgh") == ("f", "g")
