--- a/laburnumsill/consensus/lead_watch.py
+++ b/laburnumsill/consensus/lead_watch.py
@@ -45,7 +45,7 @@
     """
 
     def __init__(self, longest_attempt_s: float) -> None:
-        self._missed_at: float | None = None
+        self._no_leader_since: float | None = None
         self._attempt_timeout = learnt_wait.LearntWait(
             SHORTEST_ATTEMPT_S,
             longest_attempt_s,
@@ -60,8 +60,10 @@
 
     def worth_waiting_until(self, now: float) -> float:
         """Returns the monotonic time until which a call waits for a leader."""
-        missed_at = now if self._missed_at is None else self._missed_at
-        return max(missed_at + ELECTION_WITHIN_S, now + MIN_WAIT_S)
+        no_leader_since = (
+            now if self._no_leader_since is None else self._no_leader_since
+        )
+        return max(no_leader_since + ELECTION_WITHIN_S, now + MIN_WAIT_S)
 
     def is_silent(self, vm: str, now: float) -> bool:
         """Returns whether a VM failed to answer within `RETRY_DELAY_S`."""
@@ -73,7 +75,7 @@
 
     def answered(self, vm: str, asked_at: float, now: float) -> None:
         """Records that a VM answered as the leader."""
-        self._missed_at = None
+        self._no_leader_since = None
         self.heard(vm)
         self._attempt_timeout.note(now, now - asked_at)
 
@@ -87,5 +89,5 @@
 
     def missed(self, now: float) -> None:
         """Records that no leader was found."""
-        if self._missed_at is None:
-            self._missed_at = now
+        if self._no_leader_since is None:
+            self._no_leader_since = now
--- a/laburnumsill/consensus/log.py
+++ b/laburnumsill/consensus/log.py
@@ -20,7 +20,7 @@
 
     Attributes:
         snapshot: The latest snapshot, or None.
-        base_index: Index of the last entry that is not held any more.
+        base_index: Index of the last dropped entry, 0 if there is none.
         base_term: Term of that entry.
 
     Examples:
@@ -73,7 +73,9 @@
         )
         return self._memberships[position - 1][1] if position else NO_MEMBERSHIP
 
-    def is_voter_since(self, index: int, replica: types.ReplicaId) -> bool:
+    def is_voter_at_or_after(
+        self, index: int, replica: types.ReplicaId
+    ) -> bool:
         """Returns whether a replica is a voter at `index` or later.
 
         Args:
--- a/laburnumsill/consensus/options.py
+++ b/laburnumsill/consensus/options.py
@@ -11,10 +11,10 @@
     derives new deadlines from them each time a timer is set.
 
     Attributes:
-        election_timeout_s: Maximum of the adaptive election timeout, in
-            seconds; a follower uses it until it has received enough leader
-            messages (see `patience`). A leader steps down after this time
-            without replies of a majority.
+        election_timeout_s: Maximum election timeout, in seconds, before the
+            random spread. A follower uses it until it has received enough
+            leader messages to adapt its timeout (see `patience`). A leader
+            steps down after this time without replies of a majority.
         heartbeat_s: Heartbeat interval of a leader, in seconds.
         max_append_bytes: Maximum entry bytes in one APPEND; a larger entry is
             sent alone.
--- a/laburnumsill/consensus/patience.py
+++ b/laburnumsill/consensus/patience.py
@@ -45,7 +45,7 @@
         longest_s = options.election_timeout_s
         if not options.learns_patience:
             shortest_s = longest_s
-        self._heard_at: float | None = None
+        self._last_message_at: float | None = None
         self._timeout = learnt_wait.LearntWait(
             shortest_s, longest_s, GAP_MULTIPLE
         )
@@ -57,9 +57,9 @@
 
     def on_leader_message(self, now: float) -> None:
         """Records a message of the leader at a monotonic time."""
-        if self._heard_at is not None:
-            self._timeout.note(now, now - self._heard_at)
-        self._heard_at = now
+        if self._last_message_at is not None:
+            self._timeout.note(now, now - self._last_message_at)
+        self._last_message_at = now
 
     def reset(self) -> None:
         """Starts a new series of gaps, for another leader or term.
@@ -68,4 +68,4 @@
         the next is not a gap. The time without messages of a leader that
         timed out and then resumed in the same term is one.
         """
-        self._heard_at = None
+        self._last_message_at = None
--- a/laburnumsill/consensus/progress.py
+++ b/laburnumsill/consensus/progress.py
@@ -28,7 +28,7 @@
         mode: Replication mode.
         heard_at: Monotonic time of the last reply.
         round: Latest heartbeat round that the member acknowledged.
-        sent_commit: Highest commit index sent.
+        sent_commit: Commit index last sent.
         snapshot: The snapshot being sent, or None.
         offset: Byte offset of the next chunk of the snapshot.
         writable: Whether the member reported that it can write.
--- a/laburnumsill/consensus/replica.py
+++ b/laburnumsill/consensus/replica.py
@@ -82,7 +82,7 @@
         entries that the other voters lack, it refuses them its vote, and only
         it can become leader and commit its own removal.
         """
-        return self.log.is_voter_since(self.committed, self.me)
+        return self.log.is_voter_at_or_after(self.committed, self.me)
 
     @property
     def has_committed_in_term(self) -> bool:
