--- a/laburnumsill/batch/gateway.py
+++ b/laburnumsill/batch/gateway.py
@@ -1,4 +1,4 @@
-"""What callers may do with jobs, on any VM."""
+"""Job operations of API callers, on any VM."""
 
 from laburnumsill.batch import caller_commands
 from laburnumsill.batch import model
@@ -7,10 +7,10 @@
 from laburnumsill.core import replication
 
 ANSWER_MARGIN_S = 0.1
-"""What of a caller's time is left for the answer's way back."""
+"""Part of a caller's deadline that is reserved for the way of the answer."""
 
-ASK_WITHIN_S = 1.0
-"""Longest wait for a state."""
+QUERY_TIMEOUT_S = 1.0
+"""Timeout of a query."""
 
 
 class UnknownJobError(errors.NotFoundError):
@@ -21,15 +21,16 @@
 
 
 class JobGateway:
-    """Hands in, cancels and looks up jobs in the group of the ledger.
+    """Submits, cancels and queries jobs in the group of the ledger.
 
-    Deadlines are monotonic. Commands have them whole: one that nobody can take
-    is refused as soon as that shows, and one whose outcome is unknown is asked
-    about until it is known, since its caller could not safely try again.
+    Deadlines are monotonic. A command may use all the time to its deadline: one
+    that no leader can accept fails as soon as that is known, and one with an
+    unknown outcome is queried until the outcome is known, since its caller
+    could not safely retry it.
 
     Args:
         group: The group whose state machine holds the ledger.
-        groups: Access to it.
+        groups: Access to the groups of this VM.
         clock: The clock of this process.
     """
 
@@ -44,8 +45,8 @@
         """Returns once the job is stored.
 
         Raises:
-            errors.UnavailableError: It was certainly not accepted.
-            errors.OutcomeUnknownError: It may have been accepted.
+            errors.UnavailableError: The job was certainly not accepted.
+            errors.OutcomeUnknownError: The job may have been accepted.
         """
         command = caller_commands.SubmitJob(job, self._clock.wall_ms())
         await self._groups.propose(
@@ -57,7 +58,7 @@
 
         Raises:
             UnknownJobError: There is no such job.
-            errors.LaburnumsillError: It may or may not be cancelled.
+            errors.LaburnumsillError: The job may or may not be cancelled.
         """
         command = caller_commands.CancelJob(job_id, self._clock.wall_ms())
         answer = await self._groups.propose(
@@ -68,7 +69,7 @@
         return str(answer.state)
 
     async def state(self, job_id: str, deadline: float) -> str:
-        """Returns what is shown of a job.
+        """Returns the state of a job as shown to callers.
 
         Raises:
             UnknownJobError: There is no such job.
@@ -77,14 +78,14 @@
         answer = await self._groups.query(
             self._group,
             caller_commands.JobQuery(job_id),
-            self._within(deadline, ASK_WITHIN_S),
+            self._deadline_within(deadline, QUERY_TIMEOUT_S),
         )
         if not answer.state:
             raise UnknownJobError(f"no job {job_id!r}")
         return str(answer.state)
 
     async def pending(self, queue: str, deadline: float) -> int:
-        """Returns how many jobs of a queue have not begun.
+        """Returns the number of jobs of a queue that have not started.
 
         Raises:
             errors.UnavailableError: No confirmed answer came.
@@ -92,9 +93,9 @@
         answer = await self._groups.query(
             self._group,
             caller_commands.PendingQuery(queue),
-            self._within(deadline, ASK_WITHIN_S),
+            self._deadline_within(deadline, QUERY_TIMEOUT_S),
         )
         return int(answer.jobs)
 
-    def _within(self, deadline: float, limit_s: float) -> float:
+    def _deadline_within(self, deadline: float, limit_s: float) -> float:
         return min(deadline, self._clock.monotonic() + limit_s)
--- a/laburnumsill/batch/intake.py
+++ b/laburnumsill/batch/intake.py
@@ -1,8 +1,8 @@
-"""Announcements of workers, on any VM of the core.
+"""Intake of worker announcements, on any VM of the core.
 
-Only the leader schedules, so an announcement is passed to it before it is
-acknowledged. What matters beyond the present leader, that a worker is there
-and that it drains, is committed; plain heartbeats are not.
+Only the leader schedules, so an announcement is forwarded to the leader before
+it is acknowledged. New workers and changes of their data, such as draining,
+must survive a change of leader and are committed; plain heartbeats are not.
 """
 
 from collections import abc
@@ -19,22 +19,23 @@
 from laburnumsill.core import logs
 from laburnumsill.core import replication
 
-PASS_ON_WITHIN_S = 0.8
-"""A worker waits one second before it turns to another VM."""
+FORWARD_TIMEOUT_S = 0.8
+"""Timeout of forwarding and of a commit. A worker waits one second before it
+tries another VM."""
 
-MAX_ABSENT_HEARD = 1_000
-"""Workers that are not known any more and of which it is remembered which
-announcement was the newest."""
+MAX_UNKNOWN_SEQUENCES = 1_000
+"""Limit of the workers absent from the ledger whose newest sequence number is
+kept."""
 
 
 @codec.register("intake.announcement")
 class Announcement(msgspec.Struct, frozen=True):
-    """What a worker says of itself.
+    """An announcement, the heartbeat of a worker.
 
     Attributes:
-        worker: The worker.
-        sequence: Rises with each announcement of one incarnation.
-        clock_ms: Its own clock, or None.
+        worker: The worker's data.
+        sequence: Sequence number, rising within one incarnation.
+        clock_ms: The worker's clock, or None.
     """
 
     worker: model.Worker
@@ -44,10 +45,10 @@
 
 @codec.register("intake.departure")
 class Departure(msgspec.Struct, frozen=True):
-    """A worker has ended.
+    """Notice that a worker is shutting down.
 
     Attributes:
-        worker_id: Its name, which does not tell its incarnations apart.
+        worker_id: The worker's name, which all of its incarnations share.
     """
 
     worker_id: str
@@ -55,7 +56,7 @@
 
 @codec.register("intake.taken")
 class Taken(msgspec.Struct, frozen=True):
-    """The leader took note."""
+    """Acknowledgement of the leader."""
 
     leader: str
 
@@ -68,21 +69,21 @@
 
 
 class WorkerIntake:
-    """Takes announcements and departures.
+    """Receives announcements and departures, and forwards them to the leader.
 
     Args:
-        me: This VM.
+        vm_id: This VM.
         group: The group whose state machine holds the ledger.
-        groups: Access to it.
-        peers: The other VMs.
-        scheduler: Hears the heartbeats where this VM leads.
-        pools: Returns the pools that the configuration names.
+        groups: Access to the groups of this VM.
+        peers: Calls to other VMs.
+        scheduler: Receives the heartbeats where this VM leads.
+        pools: Returns the configured pools.
         clock: The clock of this process.
     """
 
     def __init__(
         self,
-        me: str,
+        vm_id: str,
         group: str,
         groups: replication.LeaderGroups,
         peers: replication.Peers,
@@ -90,49 +91,49 @@
         pools: abc.Callable[[], abc.Set[str]],
         clock: clocks.Clock,
     ) -> None:
-        self._me = me
+        self._vm_id = vm_id
         self._group = group
         self._groups = groups
         self._peers = peers
         self._scheduler = scheduler
         self._pools = pools
         self._clock = clock
-        self._heard: dict[str, int] = {}
-        self._heard_in_term = 0
+        self._newest_sequences: dict[str, int] = {}
+        self._sequences_term = 0
         peers.on_call(Announcement, self._on_announcement)
         peers.on_call(Departure, self._on_departure)
 
     async def announce(self, announcement: Announcement) -> str:
-        """Has the leader take note; returns the leader's VM.
+        """Forwards an announcement to the leader; returns the leader's VM.
 
         Raises:
-            ContradictoryAnnouncementError: What is known stands.
-            errors.LaburnumsillError: The leader may not have taken note.
+            ContradictoryAnnouncementError: The announcement was rejected.
+            errors.LaburnumsillError: The leader may not have received it.
         """
-        return await self._pass_on(announcement)
+        return await self._forward(announcement)
 
     async def leave(self, worker_id: str) -> str:
-        """Has the leader take note that a worker has ended."""
-        return await self._pass_on(Departure(worker_id))
+        """Forwards a departure to the leader; returns the leader's VM."""
+        return await self._forward(Departure(worker_id))
 
-    async def _pass_on(self, message: object) -> str:
+    async def _forward(self, message: object) -> str:
         leader = self._groups.leader(self._group)
         if leader is None:
             raise errors.NoQuorumError("nobody leads")
-        deadline = self._clock.monotonic() + PASS_ON_WITHIN_S
-        taken = await self._peers.call(leader, message, deadline)
-        return str(taken.leader)
+        deadline = self._clock.monotonic() + FORWARD_TIMEOUT_S
+        answer = await self._peers.call(leader, message, deadline)
+        return str(answer.leader)
 
     async def _on_announcement(self, announcement: Announcement) -> Taken:
-        """Takes note of an announcement, where this VM leads."""
+        """Processes an announcement on the leader."""
         worker = announcement.worker
         worker_id = worker.worker_id
         sequence = announcement.sequence
         ledger = self._ledger()
-        self._forget_earlier_terms()
+        self._reset_on_new_term()
         ended = ledger.has_ended(worker_id)
-        heard = self._heard.get(worker_id)
-        newest = max(ledger.sequence(worker_id), heard or 0)
+        recorded = self._newest_sequences.get(worker_id)
+        newest = max(ledger.sequence(worker_id), recorded or 0)
         if ended or sequence < newest:
             logs.decision(
                 "announcement-overtaken",
@@ -141,36 +142,39 @@
                 newest=newest,
                 ended=ended,
             )
-            return Taken(self._me)
+            return Taken(self._vm_id)
         known = ledger.workers.get(worker_id)
         if known is not None:
             self._check_pool(known, worker.pool)
-        self._note_heard(worker_id, sequence)
-        if known is not None and heard is None:
-            worker = _without_growth(known, worker)
+        self._record_sequence(worker_id, sequence)
+        if known is not None and recorded is None:
+            worker = _capped_at_known(known, worker)
         if known != worker:
             await self._put(worker, sequence)
         self._scheduler.hear(worker_id, announcement.clock_ms)
-        return Taken(self._me)
+        return Taken(self._vm_id)
 
-    def _forget_earlier_terms(self) -> None:
-        """Forgets what was heard before another VM led and heard more."""
+    def _reset_on_new_term(self) -> None:
+        """Drops the sequence numbers if the term has changed.
+
+        A leader in between may have received later announcements.
+        """
         term = self._groups.term(self._group)
-        if term != self._heard_in_term:
-            self._heard_in_term = term
-            self._heard.clear()
+        if term != self._sequences_term:
+            self._sequences_term = term
+            self._newest_sequences.clear()
 
-    def _note_heard(self, worker_id: str, sequence: int) -> None:
-        """Remembers the newest announcement, also one that says nothing new.
+    def _record_sequence(self, worker_id: str, sequence: int) -> None:
+        """Records the newest sequence number, also without new data.
 
-        One that was sent before it and arrives later is told by that.
+        A delayed announcement, sent earlier, is recognized by a lower number.
         """
-        self._heard[worker_id] = sequence
+        self._newest_sequences[worker_id] = sequence
         known = self._ledger().workers
-        if len(self._heard) > len(known) + MAX_ABSENT_HEARD:
-            self._heard = {
+        if len(self._newest_sequences) > len(known) + MAX_UNKNOWN_SEQUENCES:
+            self._newest_sequences = {
                 one: newest
-                for one, newest in self._heard.items()
+                for one, newest in self._newest_sequences.items()
                 if one in known
             }
 
@@ -191,69 +195,78 @@
         )
 
     def _check_pool(self, known: model.Worker, pool: str) -> None:
-        """Checks that a worker is not moved out of reach of all jobs.
+        """Checks that a worker does not change to an unconfigured pool.
 
-        An incarnation works for one pool, so of two announcements with its
-        id one is of another writer: the one whose pool nobody configured.
+        An incarnation belongs to one pool. If two announcements with its id
+        differ in the pool, the one with the unconfigured pool is from another
+        sender; accepting it would hide the worker from all jobs.
 
         Raises:
-            ContradictoryAnnouncementError: `pool` is such a one.
+            ContradictoryAnnouncementError: `pool` is not configured, but the
+                known pool is.
         """
-        named = self._pools()
-        if pool != known.pool and known.pool in named and pool not in named:
+        configured = self._pools()
+        if (
+            pool != known.pool
+            and known.pool in configured
+            and pool not in configured
+        ):
             raise ContradictoryAnnouncementError(
                 f"{known.worker_id} works for {known.pool!r}, not {pool!r}"
             )
 
     async def _on_departure(self, departure: Departure) -> Taken:
-        """Takes note that a worker has ended, where this VM leads."""
+        """Processes a departure on the leader."""
         name = departure.worker_id
         ledger = self._ledger()
         ended_ms = self._clock.wall_ms()
-        for worker_id in _leaving(ledger, name):
+        for worker_id in _departing_incarnations(ledger, name):
             logs.event("worker-left", worker=worker_id)
             await self._commit(
                 commands.RemoveWorker(worker_id, "it left", (), ended_ms)
             )
-        return Taken(self._me)
+        return Taken(self._vm_id)
 
     async def _commit(self, command: object) -> None:
-        deadline = self._clock.monotonic() + PASS_ON_WITHIN_S
+        deadline = self._clock.monotonic() + FORWARD_TIMEOUT_S
         await self._groups.propose(self._group, command, deadline)
 
     def _ledger(self) -> ledgers.BatchLedger:
         """Returns the ledger, if this VM leads.
 
         Raises:
-            errors.NoQuorumError: It does not.
+            errors.NoQuorumError: This VM does not lead.
         """
         machine = self._groups.local(self._group)
         if machine is None or not self._groups.leads(self._group):
-            raise errors.NoQuorumError(f"{self._me} does not lead")
+            raise errors.NoQuorumError(f"{self._vm_id} does not lead")
         ledger: ledgers.BatchLedger = machine.component(
             ledgers.BatchLedger.name
         )
         return ledger
 
 
-def _leaving(ledger: ledgers.BatchLedger, name: str) -> list[str]:
-    """Returns the incarnations that a departure under a name may be of.
+def _departing_incarnations(
+    ledger: ledgers.BatchLedger, name: str
+) -> list[str]:
+    """Returns the incarnations to which a departure under a name may apply.
 
-    Where a name lasts, a departure may arrive when its sender's successor is
-    there; only one that drains has left. Another one is found to be gone when
-    it does not answer.
+    If incarnations share a name, a departure may arrive after its sender's
+    successor has been announced, so it applies to draining incarnations only.
+    The end of another one is detected when it does not answer.
     """
-    lasting = [one for one in ledger.workers_named(name) if one.name]
-    if not lasting and not ledger.has_ended(name):
+    named = [one for one in ledger.workers_named(name) if one.name]
+    if not named and not ledger.has_ended(name):
         return [name]
-    return [one.worker_id for one in lasting if one.draining]
+    return [one.worker_id for one in named if one.draining]
 
 
-def _without_growth(known: model.Worker, worker: model.Worker) -> model.Worker:
-    """Returns what a worker says of itself, but no more room than is known.
+def _capped_at_known(known: model.Worker, worker: model.Worker) -> model.Worker:
+    """Returns a worker's data with the capacity capped at the known one.
 
-    A leader that has not heard of it before cannot tell whether that is old
-    news, sent before the worker shrank: it waits for the next heartbeat.
+    A leader that has no sequence number of the worker cannot tell whether the
+    announcement was sent before the worker's capacity shrank. It accepts a
+    larger capacity with the next announcement.
     """
     capacity = known.capacity.least(worker.capacity)
     return msgspec.structs.replace(worker, capacity=capacity)
--- a/laburnumsill/batch/worker_client.py
+++ b/laburnumsill/batch/worker_client.py
@@ -1,4 +1,4 @@
-"""What the scheduler asks of workers, whatever protocol they speak."""
+"""Interface of the scheduler to workers, independent of their protocol."""
 
 import abc
 import dataclasses
@@ -9,7 +9,7 @@
 
 
 class NoAnswerError(errors.OutcomeUnknownError):
-    """No clear answer came; the order may have been or be carried out."""
+    """No clear answer came; the order may be carried out now or later."""
 
     slug = "no-worker-answer"
     title = "The worker gave no clear answer"
@@ -25,8 +25,8 @@
 class IncarnationReplacedError(IncarnationGoneError):
     """Another incarnation answers under the worker's name.
 
-    It may have carried out orders that were meant for this one, and may still
-    do so.
+    That incarnation may have carried out orders meant for this one, and may
+    still do so.
     """
 
     slug = "incarnation-replaced"
@@ -34,35 +34,35 @@
 
 
 class FencedOffError(errors.ConflictError):
-    """The worker has obeyed a leader of a later term; nothing was done."""
+    """The worker has accepted orders of a later term; it did nothing."""
 
     slug = "fenced-off"
     title = "A later leader has given orders"
 
 
 class OrderRefusedError(errors.ConflictError):
-    """The worker will never carry out this order; nothing was done."""
+    """The worker did nothing and will never carry out this order."""
 
     slug = "order-refused"
     title = "The worker refused the order"
 
 
 class RunOverError(OrderRefusedError):
-    """The run, or a later one of its task, has ended or was stopped there."""
+    """The run, or a later one of its task, has ended on the worker."""
 
     slug = "run-over"
     title = "The run is over"
 
 
 class LeaseTooOldError(OrderRefusedError):
-    """The lease that came with the order had ended on the worker's clock."""
+    """The lease in the order had expired on the worker's clock."""
 
     slug = "lease-too-old"
     title = "The lease had ended"
 
 
 class NothingDoneError(errors.UnavailableError):
-    """The worker is not well and has done nothing."""
+    """The worker cannot carry out orders at present; it did nothing."""
 
     slug = "worker-unwell"
     title = "The worker has done nothing"
@@ -84,9 +84,9 @@
     """A run that a worker lists as running.
 
     Attributes:
-        run: Which run.
+        run: The run.
         saved: Its newest saved progress, or "".
-        percent: How much of it is done, 0 to 100.
+        percent: Its progress, 0 to 100.
     """
 
     run: model.RunId
@@ -96,15 +96,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What a worker runs, and the ends that are not noted yet.
+    """A worker's running runs and its ends that are not acknowledged yet.
 
     Attributes:
         clock_ms: The worker's clock when it answered.
-        running: All that runs on it.
+        running: All runs on the worker.
         ended: Ends in the order of their numbers.
-        unread_running: How many of what runs on it could not be read, so
-            that a run which is not listed may be there.
-        unread_ended: How many ends could not be read.
+        unread_running: Number of malformed rows of running runs. If there are
+            any, a run that is missing in `running` may be running.
+        unread_ended: Number of malformed rows of ends.
     """
 
     clock_ms: int
@@ -119,9 +119,9 @@
     """An order to start a run.
 
     Attributes:
-        run: Which run.
+        run: The run.
         payload: The job's payload.
-        saved: Progress to go on from, or "".
+        saved: Saved progress to resume from, or "".
         lease_ms: End of the lease, on the worker's clock.
         fence: The term of the leader that gives the order.
     """
@@ -135,13 +135,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportOrder:
-    """An order to prolong the lease and report.
+    """An order to renew the lease and report.
 
     Attributes:
-        lease_ms: End of the lease, on the worker's clock; None leaves it.
+        lease_ms: End of the lease, on the worker's clock; None for no renewal.
         fence: The term of the leader that gives the order.
-        noted: Ends up to this number may be forgotten.
-        wait_ms: The answer may wait so long for an end, in ms.
+        noted: Number of the last recorded end; the worker may drop the ends up
+            to it.
+        wait_ms: Long-poll timeout: longest time for which the worker may wait
+            for an end before it answers, in ms.
     """
 
     lease_ms: int | None
@@ -151,9 +153,9 @@
 
 
 class WorkerClient(abc.ABC):
-    """Gives orders to workers.
+    """Sends orders to workers.
 
-    Deadlines are monotonic points. Every call may raise NoAnswerError,
+    Deadlines are monotonic times. Every call may raise NoAnswerError,
     IncarnationGoneError, FencedOffError and NothingDoneError.
     """
 
@@ -161,12 +163,12 @@
     async def start(
         self, worker: model.Worker, order: StartOrder, deadline: float
     ) -> Answer:
-        """Starts a run; a run that is there already stays.
+        """Starts a run; has no effect on a run that is already started.
 
         Raises:
-            RunOverError: It has ended there.
-            LeaseTooOldError: The lease has ended.
-            OrderRefusedError: It was refused for another reason.
+            RunOverError: The run has ended on the worker.
+            LeaseTooOldError: The lease has expired.
+            OrderRefusedError: The order was refused for another reason.
         """
 
     @abc.abstractmethod
@@ -177,10 +179,10 @@
         fence: int,
         deadline: float,
     ) -> Answer:
-        """Stops a run; one that is not there will never start."""
+        """Stops a run, or keeps it from ever starting on the worker."""
 
     @abc.abstractmethod
     async def report(
         self, worker: model.Worker, order: ReportOrder, deadline: float
     ) -> Report:
-        """Prolongs the lease of all that runs there and returns a report."""
+        """Renews the lease of all runs on the worker and returns a report."""
