--- a/laburnumsill/batch/last_lead.py
+++ b/laburnumsill/batch/last_lead.py
@@ -1,46 +1,47 @@
-"""When a VM last knew that anybody led, before it came to lead itself.
+"""Time at which a VM last knew of a leader, before it leads itself.
 
-What the ledger says of workers is as old as that: while nobody leads, no
-announcement is taken note of.
+The workers' data in the ledger may be as old as this time: without a leader no
+announcement is recorded.
 """
 
 import math
 
 STALL_S = 1.0
-"""A VM that has not looked for so long was stopped, and what it believes of
-the lead is as old as that."""
+"""Time without an observation after which the VM counts as stalled. What it
+believes about the leader is then as old as the stall."""
 
-BELIEVED_AGAIN_S = 1.0
-"""So long after a stall it has heard from the leader there is, or missed it:
-a lost leader is missed after 0.6 s at most."""
+STALL_RECOVERY_S = 1.0
+"""Time after a stall during which observations are ignored. By then the VM has
+received a message of the current leader or detected its loss, which takes 0.6 s
+at most."""
 
 
-class LastLead:
-    """Remembers when a leader was known.
+class LastKnownLeader:
+    """Records when a leader was last known.
 
     Examples:
-        >>> last = LastLead()
+        >>> last = LastKnownLeader()
         >>> for tenth in range(20):
-        ...     last.look("vm1", tenth / 10)
-        >>> last.look(None, 2.0)
+        ...     last.observe("vm1", tenth / 10)
+        >>> last.observe(None, 2.0)
         >>> last.known_at
         1.9
     """
 
     def __init__(self) -> None:
         self._known_at = -math.inf
-        self._looked_at = -math.inf
-        self._doubted_until = -math.inf
+        self._observed_at = -math.inf
+        self._distrusted_until = -math.inf
 
     @property
     def known_at(self) -> float:
-        """When a leader was known last, monotonic; -inf for never."""
+        """Monotonic time at which a leader was last known; -inf if never."""
         return self._known_at
 
-    def look(self, leader: str | None, now: float) -> None:
-        """Takes note of who leads, None for nobody, as far as is known."""
-        if now - self._looked_at > STALL_S:
-            self._doubted_until = now + BELIEVED_AGAIN_S
-        self._looked_at = now
-        if leader is not None and now >= self._doubted_until:
+    def observe(self, leader: str | None, now: float) -> None:
+        """Records the leader that this VM believes in, or None."""
+        if now - self._observed_at > STALL_S:
+            self._distrusted_until = now + STALL_RECOVERY_S
+        self._observed_at = now
+        if leader is not None and now >= self._distrusted_until:
             self._known_at = now
--- a/laburnumsill/batch/leading.py
+++ b/laburnumsill/batch/leading.py
@@ -1,9 +1,9 @@
-"""What runs on the VM that leads: sessions, plans and housekeeping.
+"""Scheduling on the leader: worker sessions, planning and housekeeping.
 
-One session deals with each worker, a planner is woken by what changes, and
-workers that are silent and jobs that ended long ago are looked for. When the
-lead is lost, all of it is cancelled; the ledger tells the next leader which
-runs there may be.
+Each worker has one session. Changes of the ledger or of a worker's state
+trigger a new plan. Housekeeping removes silent workers and jobs that ended long
+ago. When leadership is lost, everything is cancelled; the next leader finds in
+the ledger which runs may exist.
 """
 
 import dataclasses
@@ -35,48 +35,47 @@
 from laburnumsill.core import metrics as metrics_module
 from laburnumsill.core import replication
 
-LEAD_POLL_S = 0.05
-"""How often a VM looks whether it has come to lead."""
+LEADERSHIP_POLL_S = 0.05
+"""Interval at which a VM checks whether it leads the group."""
 
-HOUSEKEEPING_S = 0.5
-"""How often workers are looked at for their silence."""
+HOUSEKEEPING_INTERVAL_S = 0.5
+"""Interval of housekeeping, and the longest time between two plans."""
 
-COMMIT_WITHIN_S = 2.0
-"""A commit that takes longer ends the term: the lead is as good as lost."""
+COMMIT_TIMEOUT_S = 2.0
+"""Timeout of a commit. A leader whose commit times out ends its term."""
 
 PLANNING_SHARE = 0.25
-"""Most of the loop's time that goes to plans: after one there is a rest, in
-which more events gather. Plans of today's sites take a millisecond; with 176
-workers and a plan at each event they took all that commits and reports left."""
+"""Largest share of the event loop's time for planning. A pause after each plan
+lets events accumulate. A plan takes about a millisecond; with 176 workers and a
+plan for each event, planning starved commits and reports."""
 
-DOUBT_EVERY_S = 0.5
-"""The workers of a failure domain are asked at most so often whether they
-answer; each question is priced."""
+DOMAIN_PROBE_INTERVAL_S = 0.5
+"""Shortest interval between two rounds of probes of a failure domain; each
+probe has a price."""
 
-LONGEST_REST_S = 0.1
-"""Longest rest after a plan; urgent jobs have 1.5 s to spare in all."""
+MAX_PLANNING_PAUSE_S = 0.1
+"""Longest pause after a plan; urgent jobs have 1.5 s of slack in all."""
 
-ANNOUNCED_BEFORE_S = 2.0
-"""When nobody leads any more, what is known of a worker may be so old: it
-announces itself every 1.5 s, and a lost leader is missed after 0.6 s."""
+INHERITED_ANNOUNCEMENT_AGE_S = 2.0
+"""Age that a new leader assumes for the workers' last announcements at the time
+when the previous leader was last known: a worker announces itself every 1.5 s,
+and the loss of a leader is detected after 0.6 s."""
 
-FORGET_WORKER_S = 12.0
-"""A worker that was silent for so long, and whose leases are over, is gone."""
+WORKER_REMOVAL_TIMEOUT_S = 12.0
+"""Silence after which a worker is removed, once its leases have expired."""
 
-KEEP_ENDED_S = 300.0
-"""Jobs are remembered for so long after their end; the users ask for 120 s
-at least."""
+ENDED_JOB_RETENTION_S = 300.0
+"""Time for which ended jobs are kept; the users require at least 120 s."""
 
+URGENT_STOP_REASON = "an urgent job needs the room"
+"""Logged reason of the stops that a plan demands."""
 
-URGENT_STOP = "an urgent job needs the room"
-"""Why runs are stopped that a plan stops."""
-
-FORGET_EVERY_S = 30
-"""How often jobs that ended long ago are looked for."""
+RETENTION_CHECK_INTERVAL_S = 30
+"""Interval at which expired jobs are removed."""
 
 
 class LeadLostError(errors.UnavailableError):
-    """A commit of the scheduler failed: another VM leads, or none."""
+    """A commit of the scheduler failed: another VM leads, or no VM does."""
 
     slug = "lead-lost"
     title = "The scheduler does not lead any more"
@@ -84,11 +83,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerBounds:
-    """How long workers take for something at most.
+    """Time limits that workers guarantee.
 
     Attributes:
         longest_lease_ms: The longest lease that they grant.
-        stop_grace_ms: From the order to stop a run to its end.
+        stop_grace_ms: Longest time from a stop order to the end of the run.
     """
 
     longest_lease_ms: int
@@ -97,18 +96,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Context:
-    """What a scheduler works with, whoever leads.
+    """Dependencies of a scheduler, on every VM.
 
     Attributes:
         group: The group whose state machine holds the ledger.
-        groups: Access to it.
-        client: Gives orders to workers.
+        groups: Access to the groups of this VM.
+        client: Sends orders to workers.
         guarantees: Returns the guaranteed accelerators by client account.
         clock: The clock of this process.
-        metrics: Takes the counters.
-        bounds: What workers take at most.
-        pools: Returns the pools that the configuration names.
-        policy: Which mechanisms are in use.
+        metrics: Receives the gauges.
+        bounds: Time limits that workers guarantee.
+        pools: Returns the configured pools.
+        policy: The mechanisms in use.
     """
 
     group: str
@@ -123,14 +122,15 @@
 
 
 class LeadingTerm(terms.Term):
-    """What runs while this VM leads.
+    """One term of this VM as the leading scheduler.
 
     Args:
-        context: What the scheduler was given.
-        ledger: The ledger, with all that earlier leaders did.
-        fence: The term of the lead.
-        learnt: What was learnt from the commands of the ledger.
-        led_at: When a leader was known before this one, monotonic.
+        context: Dependencies of the scheduler.
+        ledger: The ledger, with all commands of earlier leaders applied.
+        fence: Raft term of this leader, the fencing token of its orders.
+        learnt: Estimates of worker speeds and run times from the ledger.
+        leader_known_at: Monotonic time at which a previous leader was last
+            known.
     """
 
     def __init__(
@@ -139,7 +139,7 @@
         ledger: ledgers.BatchLedger,
         fence: int,
         learnt: learnt_module.Learnt,
-        led_at: float,
+        leader_known_at: float,
     ) -> None:
         self.ledger = ledger
         self.client = context.client
@@ -147,9 +147,9 @@
         self.fence = fence
         self.longest_lease_ms = context.bounds.longest_lease_ms
         self.health = worker_health.WorkerHealth()
-        self.attempt = learnt_wait.LearntWait(
-            orders.SHORTEST_ATTEMPT_S,
-            orders.ATTEMPT_S,
+        self.order_timeout = learnt_wait.LearntWait(
+            orders.MIN_ORDER_TIMEOUT_S,
+            orders.MAX_ORDER_TIMEOUT_S,
             learnt_wait.ANSWERS_BORNE,
         )
         self._context = context
@@ -166,58 +166,67 @@
         self._scope = trio.CancelScope()
         self._nursery: trio.Nursery
         self._kept_racks: dict[model.StepKey, str] = {}
-        self._doubted: dict[str, float] = {}
-        self._forget_at_ms = 0
-        announced_at = led_at - ANNOUNCED_BEFORE_S
-        self._inherited = dict.fromkeys(ledger.workers, announced_at)
+        self._domain_probed_at: dict[str, float] = {}
+        self._next_retention_check_ms = 0
+        announced_at = leader_known_at - INHERITED_ANNOUNCEMENT_AGE_S
+        self._inherited_announced_at = dict.fromkeys(
+            ledger.workers, announced_at
+        )
 
     async def run(self) -> None:
-        """Runs until the lead is lost."""
+        """Runs until leadership is lost."""
         with self._scope:
             async with trio.open_nursery() as nursery:
                 self._nursery = nursery
-                nursery.start_soon(self._watch_lead)
-                nursery.start_soon(self._keep_house)
-                await self._keep_planning()
+                nursery.start_soon(self._watch_leadership)
+                nursery.start_soon(self._run_housekeeping)
+                await self._run_planner()
 
     def is_served(self, pool: str) -> bool:
-        """Returns whether a pool is configured, or was for a job."""
+        """Returns whether a pool is configured, or was for a known job."""
         if pool in self._context.pools():
             return True
         jobs = self.ledger.jobs.values()
         return any(record.job.terms.pool == pool for record in jobs)
 
-    def wake(self) -> None:
-        """Has a plan made soon."""
+    def request_plan(self) -> None:
+        """Requests a new plan."""
         self._wakeup.set()
 
-    def note_seen(self, run: model.RunId) -> None:
-        """Notes a run that is committed as seen with the next batch."""
+    def record_seen(self, run: model.RunId) -> None:
+        """Records a run as seen; housekeeping commits it with others."""
         self._seen.add(run)
 
-    def fenced_off(self, worker_id: str) -> None:
-        """A worker obeys a later leader: this term is over."""
+    def step_down(self, worker_id: str) -> None:
+        """Ends the term: a worker obeys the leader of a later one."""
         logs.event("fenced-off", "WARNING", worker=worker_id, fence=self.fence)
         self._scope.cancel()
 
-    def doubt_domain_of(self, worker: model.Worker) -> None:
-        """Has the workers of a failure domain asked, see the base class."""
+    def probe_domain_of(self, worker: model.Worker) -> None:
+        """Probes workers of a failure domain, see the base class."""
         now = self.clock.monotonic()
-        if now < self._doubted.get(worker.domain, -math.inf) + DOUBT_EVERY_S:
+        if (
+            now
+            < self._domain_probed_at.get(worker.domain, -math.inf)
+            + DOMAIN_PROBE_INTERVAL_S
+        ):
             return
-        self._doubted[worker.domain] = now
+        self._domain_probed_at[worker.domain] = now
         for session in self._sessions.values():
-            if session.worker.domain == worker.domain and not session.answers:
-                self._nursery.start_soon(session.ask_unless_asked)
+            if (
+                session.worker.domain == worker.domain
+                and not session.answered_recently
+            ):
+                self._nursery.start_soon(session.probe_if_idle)
 
-    def hear(self, worker_id: str, clock_ms: int | None) -> None:
+    def observe_heartbeat(self, worker_id: str, clock_ms: int | None) -> None:
         """Passes a heartbeat to the worker's session."""
         session = self._sessions.get(worker_id)
         if session is not None:
-            session.hear(clock_ms)
+            session.observe_heartbeat(clock_ms)
 
-    async def verified(self, worker: model.Worker) -> None:
-        """Removes others of a worker's name, see the base class."""
+    async def end_other_incarnations(self, worker: model.Worker) -> None:
+        """Ends sessions of replaced workers, see the base class."""
         for other in list(self.ledger.workers_named(worker.call_name)):
             session = self._sessions.get(other.worker_id)
             if session is not None and other.worker_id != worker.worker_id:
@@ -225,7 +234,7 @@
 
     async def commit(self, command: object) -> object:
         """Commits a command, see the base class."""
-        deadline = self.clock.monotonic() + COMMIT_WITHIN_S
+        deadline = self.clock.monotonic() + COMMIT_TIMEOUT_S
         try:
             return await self._context.groups.propose(
                 self._context.group, command, deadline
@@ -242,45 +251,45 @@
             await trio.lowlevel.checkpoint()
             raise LeadLostError(error.detail) from error
 
-    async def _watch_lead(self) -> None:
+    async def _watch_leadership(self) -> None:
         groups = self._context.groups
         group = self._context.group
         while True:
-            await trio.sleep(LEAD_POLL_S)
+            await trio.sleep(LEADERSHIP_POLL_S)
             if not groups.leads(group) or groups.term(group) != self.fence:
                 self._scope.cancel()
                 return
 
-    async def _keep_planning(self) -> None:
+    async def _run_planner(self) -> None:
         while True:
-            with trio.move_on_after(self._until_next_due_s()):
+            with trio.move_on_after(self._seconds_to_next_due()):
                 await self._wakeup.wait()
             self._wakeup = trio.Event()
             began = self.clock.monotonic()
-            made = self._make_plan()
+            plan = self._make_plan()
             took_s = self.clock.monotonic() - began
-            if made.groups:
-                await self._place(made.groups)
-            rest_s = took_s * (1 / PLANNING_SHARE - 1)
-            await trio.sleep(min(LONGEST_REST_S, rest_s))
+            if plan.groups:
+                await self._place_groups(plan.groups)
+            pause_s = took_s * (1 / PLANNING_SHARE - 1)
+            await trio.sleep(min(MAX_PLANNING_PAUSE_S, pause_s))
 
     def _make_plan(self) -> planner.Plan:
-        """Returns what to place; what is to end is being stopped already."""
-        self._match_sessions()
-        self._stop_unwanted()
+        """Returns a plan, after starting the stops of obsolete runs."""
+        self._sync_sessions()
+        self._stop_obsolete_runs()
         contested = contested_workers.contested(
             self.ledger.workers.values(), self._context.pools()
         )
         for worker_id in contested:
             self._sessions[worker_id].verify()
-        return self._plan_with(self._usable(contested))
+        return self._plan_with(self._usable_workers(contested))
 
-    def _until_next_due_s(self) -> float:
+    def _seconds_to_next_due(self) -> float:
         now_ms = self.clock.wall_ms()
         due_ms = units.next_due_ms(self.ledger, now_ms)
         if due_ms is None:
-            return HOUSEKEEPING_S
-        return min(HOUSEKEEPING_S, (due_ms - now_ms) / 1000 + 0.001)
+            return HOUSEKEEPING_INTERVAL_S
+        return min(HOUSEKEEPING_INTERVAL_S, (due_ms - now_ms) / 1000 + 0.001)
 
     def _plan_with(self, usable: abc.Set[str]) -> planner.Plan:
         view = planner.View(
@@ -298,52 +307,52 @@
             self._outlook.step_ms,
             self._policy,
         )
-        made = planner.plan(view)
-        self._kept_racks = made.kept_racks
-        self._plan_log.waiting(made, len(usable))
-        for run in made.stops:
-            self._stop(run, URGENT_STOP, made.stopped_for[run])
-        return made
-
-    async def _place(self, groups: abc.Sequence[commands.Group]) -> None:
-        """Places groups whose workers all answer; the others are planned anew.
-
-        The load that this is for: a failure domain is cut off while urgent
-        gangs come. Without it those that were placed there began 4 to 6 s
-        late, once the leases of their workers had ended.
+        plan = planner.plan(view)
+        self._kept_racks = plan.kept_racks
+        self._plan_log.waiting(plan, len(usable))
+        for run in plan.stops:
+            self._stop(run, URGENT_STOP_REASON, plan.stopped_for[run])
+        return plan
+
+    async def _place_groups(self, groups: abc.Sequence[commands.Group]) -> None:
+        """Places groups whose workers are all reachable; replans the others.
+
+        The probes guard against a failure domain that is cut off while urgent
+        gangs arrive. Without them, gangs placed there started 4 to 6 s late,
+        after the leases of their workers had expired.
         """
         if not self._policy.asking:
             await self._commit_placements(groups)
             return
-        silent = await self._silent_of(groups)
+        unreachable = await self._unreachable_workers(groups)
         groups = [
             group
             for group in groups
-            if silent.isdisjoint(one.worker_id for one in group)
+            if unreachable.isdisjoint(one.worker_id for one in group)
         ]
-        if silent:
-            self.wake()
+        if unreachable:
+            self.request_plan()
         if groups:
             await self._commit_placements(groups)
 
-    async def _silent_of(
+    async def _unreachable_workers(
         self, groups: abc.Iterable[commands.Group]
     ) -> abc.Set[str]:
-        """Returns the workers of groups that do not answer."""
-        silent = set()
+        """Probes the workers of groups; returns those that do not answer."""
+        unreachable = set()
 
-        async def ask(worker_id: str) -> None:
+        async def probe(worker_id: str) -> None:
             session = self._sessions.get(worker_id)
-            if session is None or not await session.ask():
-                silent.add(worker_id)
+            if session is None or not await session.probe():
+                unreachable.add(worker_id)
 
         async with trio.open_nursery() as nursery:
-            # In an order of their own, so that a day can be repeated.
+            # Sorted, so that an emulator run is reproducible.
             for worker_id in sorted(
                 {one.worker_id for group in groups for one in group}
             ):
-                nursery.start_soon(ask, worker_id)
-        return silent
+                nursery.start_soon(probe, worker_id)
+        return unreachable
 
     async def _commit_placements(
         self, groups: abc.Sequence[commands.Group]
@@ -358,16 +367,16 @@
                 if not refusal and session is not None:
                     session.start(placement.run)
 
-    def _usable(self, contested: abc.Set[str]) -> set[str]:
-        """Returns the workers that may be given runs now."""
+    def _usable_workers(self, contested: abc.Set[str]) -> set[str]:
+        """Returns the workers on which runs may be placed now."""
         now = self.clock.monotonic()
         return {
             worker_id
             for worker_id, session in self._sessions.items()
-            if session.failing_since is None
+            if session.unreachable_since is None
             and worker_id not in contested
-            and session.announced_lately
-            and now >= session.unwell_until
+            and session.announcement_is_fresh
+            and now >= session.start_backoff_until
             and not self._outlook.set_aside(worker_id, now)
         }
 
@@ -383,27 +392,29 @@
         if session is not None:
             session.stop(run, reason, for_job)
 
-    def _stop_unwanted(self) -> None:
-        """Stops runs of ended jobs, done tasks and broken gangs."""
-        unwanted = [
+    def _stop_obsolete_runs(self) -> None:
+        """Stops runs of ended jobs, done tasks and incomplete gangs."""
+        obsolete = [
             (run, reason)
             for key, runs in self.ledger.runs_of_steps.items()
-            for run, reason in self._unwanted_of(key, runs)
+            for run, reason in self._obsolete_runs(key, runs)
         ]
-        for run, reason in unwanted:
+        for run, reason in obsolete:
             self._stop(run, reason)
 
-    def _unwanted_of(
+    def _obsolete_runs(
         self, key: model.StepKey, runs: abc.Iterable[model.RunId]
     ) -> abc.Iterator[tuple[model.RunId, str]]:
-        """Yields the runs of a step that are to end, and why."""
+        """Yields the runs of a step that are to be stopped, with a reason."""
         record = self.ledger.jobs.get(key[0])
         reason = ""
         if record is None:
             reason = "its job is not known"
         elif not record.active:
             reason = f"its job is {record.state}"
-        elif record.job.steps[key[2]].gang and not _is_whole(record, key, runs):
+        elif record.job.steps[key[2]].gang and not _is_complete(
+            record, key, runs
+        ):
             reason = "its gang is not whole"
         elif not record.has_done_tasks(key):
             return
@@ -415,14 +426,14 @@
             elif reason:
                 yield run, reason
 
-    def _match_sessions(self) -> None:
-        """Has a session for each worker that is known, and no other."""
+    def _sync_sessions(self) -> None:
+        """Starts sessions for new workers and ends those of removed ones."""
         for worker_id, worker in self.ledger.workers.items():
             session = self._sessions.get(worker_id)
             if session is not None:
                 session.update(worker)
                 continue
-            announced_at = self._inherited.pop(
+            announced_at = self._inherited_announced_at.pop(
                 worker_id, self.clock.monotonic()
             )
             session = sessions.WorkerSession(
@@ -440,12 +451,12 @@
         with self._scopes[session.worker_id]:
             await session.run()
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         while True:
-            await trio.sleep(HOUSEKEEPING_S)
+            await trio.sleep(HOUSEKEEPING_INTERVAL_S)
             await self._commit_seen()
-            await self._remove_silent()
-            await self._forget_ended()
+            await self._remove_silent_workers()
+            await self._forget_ended_jobs()
             self._publish()
 
     async def _commit_seen(self) -> None:
@@ -455,26 +466,31 @@
         self._seen.clear()
         await self.commit(commands.NoteRunning(seen))
 
-    async def _remove_silent(self) -> None:
+    async def _remove_silent_workers(self) -> None:
         now = self.clock.monotonic()
         for worker_id, session in list(self._sessions.items()):
-            silent_s = now - session.heard_at
-            if silent_s < FORGET_WORKER_S or now < session.leases_over_at:
+            silent_s = now - session.last_contact_at
+            if (
+                silent_s < WORKER_REMOVAL_TIMEOUT_S
+                or now < session.leases_expire_at
+            ):
                 continue
             reason = f"silent for {silent_s:.1f} s"
             logs.event("worker-gone", worker=worker_id, reason=reason)
             saved = tuple(session.progress())
             await self.commit(commands.RemoveWorker(worker_id, reason, saved))
-            self.wake()
+            self.request_plan()
 
-    async def _forget_ended(self) -> None:
-        """Forgets jobs that ended long ago, some at a time."""
+    async def _forget_ended_jobs(self) -> None:
+        """Removes jobs whose retention time is over, in batches."""
         now_ms = self.clock.wall_ms()
         self.health.keep_jobs(self.ledger.active_jobs)
-        if now_ms < self._forget_at_ms:
+        if now_ms < self._next_retention_check_ms:
             return
-        self._forget_at_ms = now_ms + FORGET_EVERY_S * 1000
-        before_ms = now_ms - int(KEEP_ENDED_S * 1000)
+        self._next_retention_check_ms = (
+            now_ms + RETENTION_CHECK_INTERVAL_S * 1000
+        )
+        before_ms = now_ms - int(ENDED_JOB_RETENTION_S * 1000)
         if self.ledger.may_forget(before_ms):
             await self.commit(commands.ForgetJobs(before_ms))
 
@@ -486,12 +502,12 @@
         metrics.gauge("units_waiting", self._plan_log.units_waiting)
 
 
-def _is_whole(
+def _is_complete(
     record: records.JobRecord,
     key: model.StepKey,
     runs: abc.Iterable[model.RunId],
 ) -> bool:
-    """Whether all members of a gang are live, in runs of one number."""
+    """Returns whether all members of a gang are live with one run number."""
     numbers = [run.number for run in runs]
     tasks = record.job.steps[key[2]].tasks
     return len(numbers) >= tasks and len(set(numbers)) == 1
--- a/laburnumsill/batch/learnt.py
+++ b/laburnumsill/batch/learnt.py
@@ -1,4 +1,4 @@
-"""What a scheduler learns from the commands of its ledger, whoever leads."""
+"""Estimates that every replica derives from the commands of its ledger."""
 
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import run_times
@@ -6,21 +6,21 @@
 
 
 class Learnt:
-    """Speeds of workers and run times of tasks.
+    """Estimates of worker speeds and of run times.
 
     Args:
-        ledger: The ledger that the commands are applied to.
+        ledger: The ledger to which the commands are applied.
 
     Attributes:
-        speeds: How fast workers are.
-        times: How long tasks take.
+        speeds: Relative run times of workers.
+        times: Expected run times of tasks.
     """
 
     def __init__(self, ledger: ledgers.BatchLedger) -> None:
         self.speeds = worker_speeds.WorkerSpeeds(ledger)
         self.times = run_times.RunTimes(ledger)
 
-    def take(self, command: object) -> None:
-        """Takes note of a command that was applied to the ledger."""
-        self.speeds.take(command)
-        self.times.take(command)
+    def observe(self, command: object) -> None:
+        """Updates the estimates after a command was applied to the ledger."""
+        self.speeds.observe(command)
+        self.times.observe(command)
--- a/laburnumsill/batch/orders.py
+++ b/laburnumsill/batch/orders.py
@@ -1,4 +1,4 @@
-"""Orders to one worker, given until it is clear what became of them."""
+"""Start and stop orders to one worker, retried until the outcome is known."""
 
 import trio
 
@@ -8,37 +8,37 @@
 from laburnumsill.core import errors
 from laburnumsill.core import logs
 
-ATTEMPT_S = 0.5
-"""Longest wait for the answer to an order, in seconds."""
+MAX_ORDER_TIMEOUT_S = 0.5
+"""Upper bound of the adaptive timeout of an order."""
 
-SHORTEST_ATTEMPT_S = 0.1
-"""Such an answer is waited for so long at least. Of 2,891 starts on the users'
-days, with cuts among them, the slowest was answered after 0.041 s. A worker
-that takes longer is passed over until it answers, and the order is repeated,
-which is harmless: an urgent gang has about 1.5 s to spare."""
+MIN_ORDER_TIMEOUT_S = 0.1
+"""Lower bound of the adaptive timeout of an order. Of 2,891 starts in the
+users' scenarios, network cuts included, the slowest was answered after 0.041 s.
+A worker that takes longer gets no new runs until it answers. The order is
+retried, which is harmless; an urgent gang has about 1.5 s of slack."""
 
 RETRY_PAUSE_S = 0.1
-"""Pause before an order without an answer is given again."""
+"""Pause before an order is retried."""
 
-LONGEST_STOP_PAUSE_S = 0.8
-"""The pauses between stops without an answer double up to this, and end when
-the worker answers anything: a cut lasts for seconds, and each repeat is a new
-connection and a line in the log."""
+MAX_STOP_RETRY_PAUSE_S = 0.8
+"""Upper bound of the exponential backoff between unanswered stop orders. A cut
+lasts for seconds, and each retry costs a connection and a log line. The pause
+ends early when the worker answers any call."""
 
-START_GIVE_UP_S = 2.2
-"""A start without an answer is given up after so long: the other members of
-a gang wait 3 s for it."""
+START_TIMEOUT_S = 2.2
+"""Time limit of a start order and its retries. The other members of a gang
+wait 3 s for this one."""
 
-UNWELL_S = 1.0
-"""A worker that refused a start is given no new runs for so long."""
+START_BACKOFF_S = 1.0
+"""Time without new runs for a worker that has refused a start."""
 
 
 class Orders:
     """Starts and stops runs on one worker.
 
     Args:
-        state: What is known of the worker.
-        nursery: Runs the orders under way.
+        state: The state of the worker.
+        nursery: Runs the orders as background tasks.
     """
 
     def __init__(
@@ -48,7 +48,7 @@
         self._nursery = nursery
 
     def start(self, run: model.RunId) -> None:
-        """Begins to start a run that was placed here."""
+        """Starts a run that was placed on the worker, in the background."""
         state = self._state
         if run not in state.starting and run not in state.stops:
             state.starting.add(run)
@@ -56,16 +56,16 @@
         state.wakeup.set()
 
     def stop(self, run: model.RunId, reason: str, for_job: str = "") -> None:
-        """Begins to stop a run, once.
+        """Stops a run in the background, unless a stop is in progress.
 
         Args:
-            run: Which.
-            reason: Why, for people.
-            for_job: The job that needs its room, for people; "" for none.
+            run: The run.
+            reason: Why the run is stopped, for the log.
+            for_job: The job that needs the run's capacity, for the log, or "".
         """
         state = self._state
         if run not in state.stops:
-            state.stops[run] = worker_state.Stop(reason)
+            state.stops[run] = worker_state.StopOrder(reason)
             logs.decision(
                 "run-stop",
                 job=run.task.job_id,
@@ -77,8 +77,8 @@
             self._nursery.start_soon(self._stop, run)
         state.wakeup.set()
 
-    def stop_again(self, run: model.RunId) -> None:
-        """Gives an acknowledged stop once more."""
+    def resend_stop(self, run: model.RunId) -> None:
+        """Sends a stop order again that the worker has acknowledged."""
         state = self._state
         stop = state.stops[run]
         stop.acknowledged_at = None
@@ -92,21 +92,21 @@
         )
         self._nursery.start_soon(self._stop, run)
 
-    def _wanted(self, run: model.RunId) -> bool:
-        """Whether a placed run is still to be started."""
+    def _should_start(self, run: model.RunId) -> bool:
+        """Returns whether a start order for a placed run is still due."""
         state = self._state
         if run in state.stops:
             return False
         if run not in state.term.ledger.runs_on(state.worker_id):
             return False
-        if not state.announced_lately or not self._has_room():
+        if not state.announcement_is_fresh or not self._fits():
             return False
         return run.task.job_id in state.term.ledger.active_jobs
 
-    def _has_room(self) -> bool:
-        """Whether all that is placed on the worker fits into it.
+    def _fits(self) -> bool:
+        """Returns whether all runs placed on the worker fit its capacity.
 
-        Its capacity may have shrunk since a run was placed there.
+        The capacity may have shrunk since a run was placed.
         """
         ledger = self._state.term.ledger
         worker_id = self._state.worker_id
@@ -117,31 +117,33 @@
     async def _start(self, run: model.RunId) -> None:
         state = self._state
         try:
-            await self._start_until_clear(run)
+            await self._start_with_retries(run)
         finally:
             state.starting.discard(run)
             state.wakeup.set()
 
-    async def _start_until_clear(self, run: model.RunId) -> None:
-        """Gives a start order until it is clear what became of it."""
+    async def _start_with_retries(self, run: model.RunId) -> None:
+        """Sends a start order and retries it until its outcome is known."""
         state = self._state
         clock = state.term.clock
-        give_up_at = clock.monotonic() + START_GIVE_UP_S
-        maybe_begun = False
-        while self._wanted(run) and clock.monotonic() < give_up_at:
+        give_up_at = clock.monotonic() + START_TIMEOUT_S
+        may_have_started = False
+        while self._should_start(run) and clock.monotonic() < give_up_at:
             try:
-                if maybe_begun and state.worker.name:
-                    await state.ask()  # it may have started again since
+                if may_have_started and state.worker.name:
+                    await state.probe()  # the worker may have restarted since
                 if await self._start_once(run):
                     return
             except worker_client.IncarnationReplacedError as error:
-                await state.replaced(error)
+                await state.handle_replacement(error)
                 return
             except worker_client.IncarnationGoneError as error:
-                await state.gone(error.detail)
+                await state.remove(error.detail)
                 return
             except worker_client.RunOverError:
-                state.stops[run] = worker_state.Stop("over", clock.monotonic())
+                state.stops[run] = worker_state.StopOrder(
+                    "over", clock.monotonic()
+                )
                 return
             except worker_client.LeaseTooOldError as error:
                 self._log_start_failure(run, error)
@@ -150,33 +152,33 @@
                 worker_client.NothingDoneError,
             ) as error:
                 self._log_start_failure(run, error)
-                state.unwell_until = clock.monotonic() + UNWELL_S
-                if not maybe_begun:
+                state.start_backoff_until = clock.monotonic() + START_BACKOFF_S
+                if not may_have_started:
                     reason = error.slug
                     await state.commit_releases([state.release(run, reason)])
                     return
             except errors.LaburnumsillError as error:
                 self._log_start_failure(run, error)
                 if isinstance(error, worker_client.NoAnswerError):
-                    state.unanswered(error)
-                maybe_begun = True
+                    state.mark_unreachable(error)
+                may_have_started = True
             await trio.sleep(RETRY_PAUSE_S)
         if run in state.term.ledger.runs_on(state.worker_id):
             self.stop(run, "its start was given up")
 
     async def _start_once(self, run: model.RunId) -> bool:
-        """Gives a start order once; returns whether the run is there now."""
+        """Sends one start order; returns whether the run has started."""
         state = self._state
         now = state.term.clock.monotonic()
         lease_ms = state.leases.next_lease_ms(now)
-        if state.lost:
+        if state.renewal_suspended:
             return False
         record = state.term.ledger.jobs.get(run.task.job_id)
         task = record.task(run.task) if record else None
         if record is None or task is None:
             return False
         if lease_ms is None:
-            state.wakeup.set()  # a report brings the clock
+            state.wakeup.set()  # the next report returns the clock
             return False
         state.leases.granted(lease_ms)
         order = worker_client.StartOrder(
@@ -184,11 +186,11 @@
         )
         state.ordered.add(run)
         answer = await state.term.client.start(
-            state.worker, order, now + state.term.attempt.seconds
+            state.worker, order, now + state.term.order_timeout.seconds
         )
-        state.answered(answer.clock_ms, now)
+        state.record_answer(answer.clock_ms, now)
         state.started[run] = 0
-        state.term.health.note_started(run, state.term.clock.monotonic())
+        state.term.health.observe_start(run, state.term.clock.monotonic())
         logs.event(
             "run-started",
             job=run.task.job_id,
@@ -218,18 +220,18 @@
             state.leases.observe(clock_ms, state.term.clock.monotonic())
 
     async def _stop(self, run: model.RunId) -> None:
-        """Gives a stop order until it is acknowledged."""
+        """Sends a stop order until the worker acknowledges it."""
         state = self._state
         pause_s = RETRY_PAUSE_S
-        while run in state.stops and not state.is_over(run):
+        while run in state.stops and not state.has_ended(run):
             now = state.term.clock.monotonic()
-            deadline = now + state.term.attempt.seconds
+            deadline = now + state.term.order_timeout.seconds
             try:
                 answer = await state.term.client.stop(
                     state.worker, run, state.term.fence, deadline
                 )
             except worker_client.IncarnationGoneError as error:
-                await state.gone(error.detail)
+                await state.remove(error.detail)
                 return
             except errors.LaburnumsillError as error:
                 logs.event(
@@ -240,14 +242,14 @@
                     reason=error.slug,
                 )
                 if isinstance(error, worker_client.NoAnswerError):
-                    state.unanswered(error)
-                if state.answered_at >= now:  # it has come back meanwhile
+                    state.mark_unreachable(error)
+                if state.answered_at >= now:  # another call was answered since
                     pause_s = RETRY_PAUSE_S
                 with trio.move_on_after(pause_s):
-                    await state.regained.wait()
-                pause_s = min(2 * pause_s, LONGEST_STOP_PAUSE_S)
+                    await state.reachable_again.wait()
+                pause_s = min(2 * pause_s, MAX_STOP_RETRY_PAUSE_S)
                 continue
-            state.answered(answer.clock_ms, now)
+            state.record_answer(answer.clock_ms, now)
             stop = state.stops.get(run)
             if stop is not None:
                 stop.acknowledged_at = state.term.clock.monotonic()
--- a/laburnumsill/batch/run_times.py
+++ b/laburnumsill/batch/run_times.py
@@ -1,13 +1,14 @@
-"""How long tasks will take: declared times, corrected by what was seen.
+"""Estimation of run times from declared times and observed ones.
 
-Declared times are rough, how rough differs by queue, and so does how much the
-work of a queue's jobs differs. Both are learnt for each queue: a declared time
-counts the less the further earlier ones of its queue were off, and the usual
-time of the queue the less the more its jobs differ. In logarithms that is the
-mean of two normal estimates, each weighted by the inverse of its variance.
+Declared times are inaccurate. Their error differs by queue, and so does the
+spread of the run times within a queue; both are estimated for each queue. The
+expected time combines the declared time and the queue's mean: the larger the
+error of the queue's declared times, the less the declared time counts, and the
+larger the spread, the less the mean counts. In logarithms this is the mean of
+two normal estimates, each weighted by the inverse of its variance.
 
-Everything is taken from the replicated commands, so each replica learns the
-same, and a new leader knows what the old one knew.
+The estimates depend only on the replicated commands, so all replicas have the
+same ones, and a new leader starts with those of its predecessor.
 """
 
 import dataclasses
@@ -18,17 +19,17 @@
 from laburnumsill.batch import model
 from laburnumsill.batch import placed_runs
 
-PRIOR_STEPS = 2.0
-"""So many steps' worth the assumptions below count, until more was seen."""
+PRIOR_WEIGHT = 2.0
+"""Weight of the prior variances, in steps."""
 
 PRIOR_ERROR = 0.5
-"""Assumed error of declared times, sigma of the logarithm."""
+"""Prior error of declared times, sigma of the logarithm."""
 
 PRIOR_SPREAD = 0.5
-"""Assumed difference of run times within a queue, sigma of the logarithm."""
+"""Prior spread of run times within a queue, sigma of the logarithm."""
 
-MAX_STEPS_SEEN = 4_096
-"""Steps of which some tasks are done, remembered so that each counts once."""
+MAX_TRACKED_STEPS = 4_096
+"""Limit of the steps with done tasks that are kept, to count each step once."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -49,61 +50,68 @@
         self.squares += number * number
 
     def variance(self, prior_sigma: float) -> float:
-        """Returns the variance, together with what was assumed of it."""
+        """Returns the variance, combined with a prior one."""
         around_mean = self.squares - self.count * self.mean**2
-        assumed = PRIOR_STEPS * prior_sigma**2
-        return (max(0.0, around_mean) + assumed) / (self.count + PRIOR_STEPS)
+        assumed = PRIOR_WEIGHT * prior_sigma**2
+        return (max(0.0, around_mean) + assumed) / (self.count + PRIOR_WEIGHT)
 
 
 @dataclasses.dataclass(slots=True)
 class _QueueTimes:
-    """What was seen of one queue, in logarithms of milliseconds.
+    """Observed run times of one queue, as logarithms of milliseconds.
 
     Attributes:
-        taken: How long tasks took.
-        errors: That, less what was declared.
+        actual: Run times of tasks.
+        errors: Differences between run times and declared times.
     """
 
-    taken: _Moments = dataclasses.field(default_factory=_Moments)
+    actual: _Moments = dataclasses.field(default_factory=_Moments)
     errors: _Moments = dataclasses.field(default_factory=_Moments)
 
 
 class RunTimes:
-    """Learns from the commands of one ledger.
+    """Estimates of the run times of tasks.
 
     Args:
-        ledger: The ledger that the commands were applied to.
+        ledger: The ledger to which the commands are applied.
     """
 
     def __init__(self, ledger: ledgers.BatchLedger) -> None:
         self._ledger = ledger
-        self._placed = placed_runs.PlacedRuns(ledger, self._is_usual)
+        self._placed = placed_runs.PlacedRuns(ledger, self._is_representative)
         self._queues: dict[str, _QueueTimes] = {}
-        self._taken: dict[model.StepKey, list[float] | None] = {}
+        self._step_times: dict[model.StepKey, list[float] | None] = {}
 
     def expected_ms(self, job: model.Job, number: int) -> float:
-        """Returns how long a task of a step will take, in ms."""
+        """Returns the expected run time of a task of a step, in ms.
+
+        Args:
+            job: The job.
+            number: Index of the step.
+        """
         declared_ms = job.steps[number].estimated_ms
         queue = self._queues.get(job.queue)
-        if queue is None or not queue.taken.count:
+        if queue is None or not queue.actual.count:
             return declared_ms
         if declared_ms <= 0:
-            return math.exp(queue.taken.mean)
-        # The queue's mean is itself known only from so many steps.
-        spread = queue.taken.variance(PRIOR_SPREAD)
-        spread *= 1 + 1 / queue.taken.count
+            return math.exp(queue.actual.mean)
+        # The queue's mean is itself an estimate from `count` steps.
+        spread = queue.actual.variance(PRIOR_SPREAD)
+        spread *= 1 + 1 / queue.actual.count
         error = queue.errors.variance(PRIOR_ERROR)
         declared = math.log(declared_ms) + queue.errors.mean
         weight = spread / (spread + error)
-        return math.exp(weight * declared + (1 - weight) * queue.taken.mean)
+        return math.exp(weight * declared + (1 - weight) * queue.actual.mean)
 
-    def take(self, command: object) -> None:
-        """Takes note of a command that was applied to the ledger."""
+    def observe(self, command: object) -> None:
+        """Updates the estimates after a command was applied to the ledger."""
         for run in self._placed.done_by(command):
-            self._take_run(run)
+            self._observe_run(run)
 
-    def _is_usual(self, step: model.Step, group: commands.Group) -> bool:
-        """Whether runs do all the work of their tasks, near their data."""
+    def _is_representative(
+        self, step: model.Step, group: commands.Group
+    ) -> bool:
+        """Returns whether runs show the time of all work near its data."""
         if step.data_rack or step.long_running:
             return False
         return not step.same_rack or len(self._racks(group)) == 1
@@ -116,14 +124,14 @@
             if placement.worker_id in workers
         }
 
-    def _take_run(self, run: placed_runs.DoneRun) -> None:
-        """Takes the mean time of a step's tasks once all of them are done.
+    def _observe_run(self, run: placed_runs.DoneRun) -> None:
+        """Records the mean time of a step's tasks once all of them are done.
 
-        Earlier the short ones among them would count for all. A gang is done
-        with the first of its members; the others say the same again.
+        Before that the mean would be biased towards short tasks. A gang is done
+        with its first member; the ends of the others are ignored.
         """
         key = run.task.step_key
-        times = self._taken.setdefault(key, [])
+        times = self._step_times.setdefault(key, [])
         if times is None:
             return
         times.append(math.log(run.took_ms))
@@ -131,13 +139,13 @@
         record = self._ledger.jobs.get(job_id)
         if record is not None and not record.steps[occurrence][number].undone:
             self._add(record.job, number, sum(times) / len(times))
-            self._taken[key] = None
-        if len(self._taken) > MAX_STEPS_SEEN:
-            del self._taken[next(iter(self._taken))]
+            self._step_times[key] = None
+        if len(self._step_times) > MAX_TRACKED_STEPS:
+            del self._step_times[next(iter(self._step_times))]
 
-    def _add(self, job: model.Job, number: int, taken: float) -> None:
+    def _add(self, job: model.Job, number: int, actual: float) -> None:
         queue = self._queues.setdefault(job.queue, _QueueTimes())
-        queue.taken.add(taken)
+        queue.actual.add(actual)
         declared_ms = job.steps[number].estimated_ms
         if declared_ms > 0:
-            queue.errors.add(taken - math.log(declared_ms))
+            queue.errors.add(actual - math.log(declared_ms))
--- a/laburnumsill/batch/scheduler.py
+++ b/laburnumsill/batch/scheduler.py
@@ -1,7 +1,8 @@
-"""Schedules the jobs of a ledger where its group is led.
+"""Scheduler of the jobs in a ledger; active on the VM that leads its group.
 
-While this VM leads, a term runs (`leading`). On every VM the scheduler follows
-the commands of its replica, to learn how fast workers are.
+While this VM leads, it runs a `leading.LeadingTerm`. On every VM the scheduler
+observes the commands that its replica applies, to estimate worker speeds and
+run times.
 """
 
 import trio
@@ -21,7 +22,7 @@
     """Schedules the jobs of one ledger while this VM leads its group.
 
     Args:
-        context: What it works with.
+        context: Dependencies of the scheduler.
     """
 
     def __init__(self, context: leading.Context) -> None:
@@ -30,7 +31,7 @@
         self._groups = context.groups
         self._term: leading.LeadingTerm | None = None
         self._learnt: learnt_module.Learnt | None = None
-        self._last_lead = last_lead.LastLead()
+        self._last_leader = last_lead.LastKnownLeader()
 
     async def run(self) -> None:
         """Runs a term whenever this VM leads, until cancelled."""
@@ -38,40 +39,40 @@
             if self._groups.leads(self._group):
                 await self._run_term()
             else:
-                self._last_lead.look(
+                self._last_leader.observe(
                     self._groups.leader(self._group),
                     self._context.clock.monotonic(),
                 )
-            await trio.sleep(leading.LEAD_POLL_S)
+            await trio.sleep(leading.LEADERSHIP_POLL_S)
 
     def hear(self, worker_id: str, clock_ms: int | None) -> None:
-        """Passes a heartbeat to the term, if one runs.
+        """Passes a heartbeat to the term, if this VM leads.
 
         Args:
-            worker_id: The worker.
-            clock_ms: Its clock when it sent the heartbeat, or None.
+            worker_id: The worker's id.
+            clock_ms: The worker's clock when it sent the heartbeat, or None.
         """
         if self._term is not None:
-            self._term.hear(worker_id, clock_ms)
+            self._term.observe_heartbeat(worker_id, clock_ms)
 
     def follow(self, machine: replication.StateMachine) -> None:
-        """Hears of all commands of a replica's state machine.
+        """Observes all commands that a replica's state machine applies.
 
-        Called before the first of them, so that a leader knows what earlier
-        leaders could know.
+        Called before the first command, so that a new leader has the same
+        estimates as earlier leaders had.
         """
         ledger = machine.component(ledgers.BatchLedger.name)
         learnt = learnt_module.Learnt(ledger)
         self._learnt = learnt
-        machine.observe(learnt.take)
+        machine.observe(learnt.observe)
         machine.observe(self.notice)
 
     def notice(self, command: object) -> None:
-        """Notices that a command was applied; it may call for a plan."""
+        """Requests a plan after a command that can affect planning."""
         if self._term is not None and not isinstance(
             command, commands.NoteRunning
         ):
-            self._term.wake()
+            self._term.request_plan()
 
     async def _run_term(self) -> None:
         fence = self._groups.term(self._group)
@@ -83,7 +84,7 @@
             ledger,
             fence,
             self._learnt or learnt_module.Learnt(ledger),
-            self._last_lead.known_at,
+            self._last_leader.known_at,
         )
         logs.event("scheduler-started", group=self._group, fence=fence)
         try:
@@ -93,8 +94,11 @@
             logs.event("scheduler-stopped", group=self._group, fence=fence)
 
     async def _confirmed_ledger(self) -> ledgers.BatchLedger | None:
-        """Returns the ledger once all that earlier leaders did is in it."""
-        deadline = self._context.clock.monotonic() + leading.COMMIT_WITHIN_S
+        """Returns the ledger with all commands of earlier leaders applied.
+
+        None if leadership could not be confirmed.
+        """
+        deadline = self._context.clock.monotonic() + leading.COMMIT_TIMEOUT_S
         try:
             await self._groups.query(
                 self._group, caller_commands.PendingQuery(""), deadline
--- a/laburnumsill/batch/session.py
+++ b/laburnumsill/batch/session.py
@@ -1,12 +1,14 @@
-"""One worker as the leading scheduler deals with it.
-
-A session asks for a report at first and then for as long as runs may be
-there. The first one brings the worker the leader's fence, after which it
-carries out no order of an earlier leader, and shows what such orders have
-begun. Each report prolongs the leases and brings the ends, which are committed
-before the next one lets the worker forget them. Orders without a clear answer
-are given again; a run that may or may not have begun is stopped, and counts as
-gone only once the worker has acknowledged that and does not list it.
+"""Session of the leading scheduler with one worker.
+
+A session requests a report when it begins, and further reports while the worker
+may have runs. The first request carries the leader's fence to the worker, which
+then rejects the orders of earlier leaders, and the answer lists the runs that
+such orders have started. Each report request renews the leases; its answer
+lists the runs that have ended. These ends are committed before the next
+request acknowledges them to the worker. Orders without a clear answer are
+retried. A run that may or may not have started is stopped, and is released only
+after the worker has acknowledged the stop and a later report does not list the
+run.
 """
 
 from collections import abc as collections_abc
@@ -23,42 +25,42 @@
 from laburnumsill.core import logs
 
 REPORT_WAIT_MS = 2_000
-"""A report may wait so long for an end; the longest that workers allow. Each
-report is priced, so a short wait costs."""
+"""Long-poll timeout of a report, the longest that workers allow. Each report
+has a price, so shorter waits cost more."""
 
-SETTLE_WAIT_MS = 100
-"""The same while it is open whether a stopped run ever began."""
+UNSETTLED_WAIT_MS = 100
+"""Long-poll timeout of a report while it is unknown whether a run started."""
 
 
-STOP_AGAIN_S = 2.0
-"""A run that is listed for so long after its stop was acknowledged is stopped
-again; the users' workers take 1 s at most."""
+RESEND_STOP_AFTER_S = 2.0
+"""Time after an acknowledged stop at which a run that is still listed gets
+another stop order; the users' workers need 1 s at most."""
 
 REPLACED_PAUSE_S = 0.5
-"""Pause before a worker is asked again under whose name another incarnation
-answers; that announces itself within 1.5 s."""
+"""Pause between reports while another incarnation answers under the worker's
+name; that incarnation announces itself within 1.5 s."""
 
-UNREAD_PAUSE_S = 0.5
-"""Pause after a report that could not be read in full: ends that are listed
-have the worker answer at once, and this one will list them again."""
+MALFORMED_REPORT_PAUSE_S = 0.5
+"""Pause after a report with malformed rows. A worker that has ends to list
+answers without waiting, and it lists a malformed end in each report."""
 
-ANSWERED_LATELY_S = 0.1
-"""A worker that answered so lately is taken to answer still: a cut would have
-to begin in between."""
+RECENT_ANSWER_S = 0.1
+"""Age up to which an answer shows, without a further probe, that the worker is
+reachable: a cut would have to begin in between."""
 
-MISSED_REPORTS = 2
-"""A run that was started and is in so many reports neither as running nor
-as ended is stopped, so that it certainly is not there."""
+MAX_MISSED_REPORTS = 2
+"""Number of reports without a started run, as running or as ended, after which
+the run is stopped. The acknowledged stop makes its absence certain."""
 
 
 class WorkerSession:
-    """See the module; `run` is a task of the term's nursery.
+    """Session with one worker; `run` is a task of the term's nursery.
 
     Args:
-        worker: The worker.
-        term: The lead under which it is dealt with.
-        nursery: Runs the orders under way.
-        announced_at: When it last said what it has, monotonic.
+        worker: The worker as announced.
+        term: The leader's term.
+        nursery: Runs the orders as background tasks.
+        announced_at: Monotonic time of the worker's last announcement.
     """
 
     def __init__(
@@ -71,118 +73,117 @@
         self._term = term
         self._state = worker_state.WorkerState(worker, term, announced_at)
         self._orders = orders.Orders(self._state, nursery)
-        self._reported_noted = term.ledger.noted(worker.worker_id)
+        self._acknowledged_end = term.ledger.noted(worker.worker_id)
         self._answered = False
-        self._doubted_at: float | None = None
-        self._asking = False
+        self._contested_at: float | None = None
+        self._probing = False
 
     @property
     def worker(self) -> model.Worker:
-        """What the worker says of itself."""
+        """The worker as announced."""
         return self._state.worker
 
     @property
     def worker_id(self) -> str:
-        """The worker."""
+        """The worker's id."""
         return self._state.worker_id
 
     @property
-    def heard_at(self) -> float:
-        """When the worker was last heard from, monotonic."""
-        return self._state.heard_at
+    def last_contact_at(self) -> float:
+        """Monotonic time of the last message from the worker."""
+        return self._state.last_contact_at
 
     @property
-    def announced_lately(self) -> bool:
-        """Whether what is known of its room is new enough to start runs."""
-        return self._state.announced_lately
+    def announcement_is_fresh(self) -> bool:
+        """Whether the last announcement is recent enough to start runs."""
+        return self._state.announcement_is_fresh
 
     @property
-    def failing_since(self) -> float | None:
-        """Since when calls to it have failed, None if they have not."""
-        return self._state.failing_since
+    def unreachable_since(self) -> float | None:
+        """Monotonic time since which calls have failed, or None."""
+        return self._state.unreachable_since
 
     @property
-    def unwell_until(self) -> float:
-        """It is given no new runs before this point, monotonic."""
-        return self._state.unwell_until
+    def start_backoff_until(self) -> float:
+        """Monotonic time before which no run is placed on the worker."""
+        return self._state.start_backoff_until
 
     @property
-    def leases_over_at(self) -> float:
-        """When nothing runs there any more without us, monotonic."""
+    def leases_expire_at(self) -> float:
+        """Monotonic time by which all leases have certainly expired."""
         return self._state.leases.over_at
 
     @property
     def stopping(self) -> collections_abc.Set[model.RunId]:
-        """The runs that it was told to stop."""
+        """The runs that are being stopped."""
         return self._state.stops.keys()
 
     def progress(self) -> list[commands.SeenRun]:
-        """Returns the progress of all live runs that were seen here."""
+        """Returns the last reported progress of the worker's live runs."""
         return self._state.progress()
 
-    def hear(self, clock_ms: int | None) -> None:
-        """Notes a heartbeat, with the worker's clock when it was sent."""
-        self._state.hear(clock_ms)
+    def observe_heartbeat(self, clock_ms: int | None) -> None:
+        """Records a heartbeat and the worker's clock when it was sent."""
+        self._state.observe_heartbeat(clock_ms)
 
     def update(self, worker: model.Worker) -> None:
-        """Takes what the worker says of itself now."""
+        """Replaces the worker's data after an announcement."""
         self._state.worker = worker
 
     def verify(self) -> None:
-        """Asks the worker's address whether this incarnation is there.
+        """Requests a report to check that this incarnation is alive.
 
-        Another one there answers so, and the session ends then.
+        If another incarnation answers at the address, the session ends.
         """
-        if self._doubted_at is None:
-            self._doubted_at = self._term.clock.monotonic()
+        if self._contested_at is None:
+            self._contested_at = self._term.clock.monotonic()
             logs.event("worker-contested", worker=self.worker_id)
         self._state.wakeup.set()
 
     async def end(self, successor: str) -> None:
-        """Ends the session: another incarnation has the worker's name."""
-        await self._state.gone("it has started again", successor)
+        """Ends the session, since a successor has the worker's name."""
+        await self._state.remove("it has started again", successor)
 
     @property
-    def answers(self) -> bool:
-        """Whether the worker answered just now."""
+    def answered_recently(self) -> bool:
+        """Whether the worker is reachable and answered a call recently."""
         age_s = self._term.clock.monotonic() - self._state.answered_at
-        return self._state.failing_since is None and age_s < ANSWERED_LATELY_S
+        return self._state.unreachable_since is None and age_s < RECENT_ANSWER_S
 
-    async def ask(self) -> bool:
-        """Returns whether the worker answers, asking it if need be.
+    async def probe(self) -> bool:
+        """Returns whether the worker is reachable; probes it if necessary.
 
-        A run that is ordered on a worker which is cut off may have begun, and
-        its task can not run elsewhere until the worker's lease has ended, some
-        seconds later. A worker that is asked first and does not answer costs a
-        tenth of a second.
+        A run whose start order goes to a worker that is cut off may have
+        started, and its task cannot run elsewhere until the worker's lease
+        expires seconds later. An unanswered probe costs a tenth of a second.
         """
-        if self.answers:
+        if self.answered_recently:
             return True
-        self._asking = True
+        self._probing = True
         try:
-            await self._state.ask()
+            await self._state.probe()
         except errors.LaburnumsillError as error:
-            await self._unanswered(error)
+            await self._handle_call_failure(error)
             return False
         finally:
-            self._asking = False
+            self._probing = False
         return True
 
-    async def ask_unless_asked(self) -> None:
-        """Asks a worker that seemed well, if nobody does so already."""
-        if not self._asking and self._state.failing_since is None:
-            await self.ask()
+    async def probe_if_idle(self) -> None:
+        """Probes a reachable worker, unless a probe is in progress."""
+        if not self._probing and self._state.unreachable_since is None:
+            await self.probe()
 
     def start(self, run: model.RunId) -> None:
-        """Begins to start a run that was placed here."""
+        """Starts a run that was placed here, see `orders.Orders.start`."""
         self._orders.start(run)
 
     def stop(self, run: model.RunId, reason: str, for_job: str = "") -> None:
-        """Begins to stop a run, once; see `orders.Orders.stop`."""
+        """Stops a run, see `orders.Orders.stop`."""
         self._orders.stop(run, reason, for_job)
 
     async def run(self) -> None:
-        """Asks for reports while there is anything to hear."""
+        """Requests reports while the worker may have something to report."""
         while True:
             if not self._needs_report():
                 await self._state.wakeup.wait()
@@ -192,70 +193,74 @@
 
     def _needs_report(self) -> bool:
         ledger = self._term.ledger
-        unsaid = ledger.noted(self._state.worker_id) > self._reported_noted
+        unacknowledged = (
+            ledger.noted(self._state.worker_id) > self._acknowledged_end
+        )
         runs = ledger.runs_on(self._state.worker_id)
-        if runs or self._state.running or unsaid:
+        if runs or self._state.running or unacknowledged:
             return True
-        if self._doubted_at is not None:
+        if self._contested_at is not None:
             return True
-        if self._state.failing_since is not None:
+        if self._state.unreachable_since is not None:
             return True
         pool = self._state.worker.pool
         return not self._answered and self._term.is_served(pool)
 
     async def _report_once(self) -> None:
         now = self._term.clock.monotonic()
-        noted = self._term.ledger.noted(self._state.worker_id)
+        last_end = self._term.ledger.noted(self._state.worker_id)
         lease_ms = self._state.leases.next_lease_ms(now)
-        if self._state.lost:
+        if self._state.renewal_suspended:
             lease_ms = None
         wait_ms = self._wait_ms()
         if lease_ms is not None:
             self._state.leases.granted(lease_ms)
         order = worker_client.ReportOrder(
-            lease_ms, self._term.fence, noted, wait_ms
+            lease_ms, self._term.fence, last_end, wait_ms
         )
-        deadline = now + wait_ms / 1000 + orders.ATTEMPT_S
+        deadline = now + wait_ms / 1000 + orders.MAX_ORDER_TIMEOUT_S
         try:
             report = await self._term.client.report(
                 self._state.worker, order, deadline
             )
         except errors.LaburnumsillError as error:
-            await self._report_failed(error)
+            await self._handle_report_failure(error)
             return
-        self._reported_noted = max(self._reported_noted, noted)
+        self._acknowledged_end = max(self._acknowledged_end, last_end)
         self._answered = True
-        await self._note_verified(now)
+        await self._finish_verification(now)
         asked_at = None if wait_ms else now
-        self._state.answered(report.clock_ms, asked_at)
-        await self._take(report, now)
+        self._state.record_answer(report.clock_ms, asked_at)
+        await self._process_report(report, now)
 
-    async def _note_verified(self, asked_at: float) -> None:
-        """This incarnation was there when it was asked."""
-        doubted_at = self._doubted_at
-        if doubted_at is None or asked_at < doubted_at:
+    async def _finish_verification(self, asked_at: float) -> None:
+        """Ends a verification that began before the answered request."""
+        contested_at = self._contested_at
+        if contested_at is None or asked_at < contested_at:
             return
-        self._doubted_at = None
-        await self._term.verified(self._state.worker)
+        self._contested_at = None
+        await self._term.end_other_incarnations(self._state.worker)
 
     def _wait_ms(self) -> int:
-        """Returns how long the next report may wait for an end."""
+        """Returns the long-poll timeout of the next report, in ms."""
         runs = self._term.ledger.runs_on(self._state.worker_id)
-        if self._doubted_at is not None or not self._state.leases.known:
+        if self._contested_at is not None or not self._state.leases.known:
             return 0
         if not runs:
-            return SETTLE_WAIT_MS if self._state.running else 0
+            return UNSETTLED_WAIT_MS if self._state.running else 0
         unsettled = any(map(self._is_stray, runs)) or any(
             stop.acknowledged_at is not None and run not in self._state.running
             for run, stop in self._state.stops.items()
             if run in runs
         )
-        return SETTLE_WAIT_MS if unsettled else REPORT_WAIT_MS
+        return UNSETTLED_WAIT_MS if unsettled else REPORT_WAIT_MS
 
-    async def _report_failed(self, error: errors.LaburnumsillError) -> None:
-        await self._unanswered(error)
+    async def _handle_report_failure(
+        self, error: errors.LaburnumsillError
+    ) -> None:
+        await self._handle_call_failure(error)
         if isinstance(error, worker_client.IncarnationReplacedError):
-            # Its successor has not announced itself, or this is removed.
+            # The successor is unknown yet, or this worker has been removed.
             await trio.sleep(REPLACED_PAUSE_S)
             return
         if isinstance(error, worker_client.IncarnationGoneError):
@@ -264,51 +269,55 @@
             await self._release_all("its lease has ended")
         await trio.sleep(orders.RETRY_PAUSE_S)
 
-    async def _unanswered(self, error: errors.LaburnumsillError) -> None:
-        """Takes note of a question that had no good answer."""
+    async def _handle_call_failure(
+        self, error: errors.LaburnumsillError
+    ) -> None:
+        """Updates the worker's state after a call that failed."""
         if isinstance(error, worker_client.IncarnationReplacedError):
-            await self._state.replaced(error)
+            await self._state.handle_replacement(error)
             return
         if isinstance(error, worker_client.IncarnationGoneError):
-            await self._state.gone(error.detail)
+            await self._state.remove(error.detail)
             return
         if isinstance(error, worker_client.FencedOffError):
-            self._term.fenced_off(self._state.worker_id)
-        self._state.unanswered(error)
+            self._term.step_down(self._state.worker_id)
+        self._state.mark_unreachable(error)
 
-    async def _take(self, report: worker_client.Report, sent_at: float) -> None:
-        """Takes note of a report that was asked for at `sent_at`."""
+    async def _process_report(
+        self, report: worker_client.Report, sent_at: float
+    ) -> None:
+        """Processes a report that was requested at `sent_at`, monotonic."""
         self._state.running = {seen.run: seen for seen in report.running}
-        noted = self._term.ledger.noted(self._state.worker_id)
-        fresh = tuple(end for end in report.ended if end.number > noted)
-        if fresh:
-            await self._note_ends(fresh)
-        listed = {end.run for end in report.ended}
-        await self._settle(listed, sent_at, not report.unread_running)
+        last_end = self._term.ledger.noted(self._state.worker_id)
+        new_ends = tuple(end for end in report.ended if end.number > last_end)
+        if new_ends:
+            await self._commit_ends(new_ends)
+        ended_runs = {end.run for end in report.ended}
+        await self._reconcile(ended_runs, sent_at, not report.unread_running)
         live = self._term.ledger.runs_on(self._state.worker_id)
         for run in self._state.running:
             if run not in live:
                 self._orders.stop(run, "nobody asked for it any more")
-        self._stop_again(sent_at)
-        self._look_for_hangs()
+        self._resend_stops(sent_at)
+        self._stop_stalled_runs()
         for run in [
-            run for run in self._state.stops if self._state.is_over(run)
+            run for run in self._state.stops if self._state.has_ended(run)
         ]:
             del self._state.stops[run]
         if report.unread_running or report.unread_ended:
-            await trio.sleep(UNREAD_PAUSE_S)
+            await trio.sleep(MALFORMED_REPORT_PAUSE_S)
 
-    def _stop_again(self, sent_at: float) -> None:
-        """Gives the stops again whose runs are listed long after them."""
+    def _resend_stops(self, sent_at: float) -> None:
+        """Resends stop orders to runs that outlive their acknowledgement."""
         for run, stop in self._state.stops.items():
             acknowledged_at = stop.acknowledged_at
             if run not in self._state.running or acknowledged_at is None:
                 continue
-            if sent_at - acknowledged_at >= STOP_AGAIN_S:
-                self._orders.stop_again(run)
+            if sent_at - acknowledged_at >= RESEND_STOP_AFTER_S:
+                self._orders.resend_stop(run)
 
-    def _look_for_hangs(self) -> None:
-        """Stops runs whose progress stands still, to run them elsewhere."""
+    def _stop_stalled_runs(self) -> None:
+        """Stops stalled runs, so that their tasks can run elsewhere."""
         now = self._term.clock.monotonic()
         for run, seen in self._state.running.items():
             record = self._term.ledger.jobs.get(run.task.job_id)
@@ -317,9 +326,11 @@
             if record.task(run.task) is None:
                 continue
             gang = record.job.steps[run.task.step].gang
-            if not self._term.health.note_running(seen, gang, now):
+            if not self._term.health.observe_progress(seen, gang, now):
                 continue
-            self._term.health.note_hang(self._state.worker_id, run, now)
+            self._term.health.quarantine_for_stall(
+                self._state.worker_id, run, now
+            )
             logs.event(
                 "run-stalled",
                 "WARNING",
@@ -330,7 +341,7 @@
             )
             self._orders.stop(run, "its progress stands still")
 
-    async def _note_ends(self, ends: tuple[commands.EndedRun, ...]) -> None:
+    async def _commit_ends(self, ends: tuple[commands.EndedRun, ...]) -> None:
         for end in ends:
             logs.event(
                 "run-ended",
@@ -343,17 +354,17 @@
             )
         at_ms = self._term.clock.wall_ms()
         active = self._term.ledger.active_jobs
-        concerned = {end.run.task.job_id for end in ends} & active.keys()
+        affected = {end.run.task.job_id for end in ends} & active.keys()
         await self._term.commit(
             commands.NoteEnds(self._state.worker_id, ends, at_ms)
         )
-        for job_id in concerned:
+        for job_id in affected:
             self._term.log_end(job_id)
         for end in ends:
             self._state.started.pop(end.run, None)
             self._state.ordered.discard(end.run)
             self._observe_end(end)
-        self._term.wake()
+        self._term.request_plan()
 
     def _observe_end(self, end: commands.EndedRun) -> None:
         record = self._term.ledger.jobs.get(end.run.task.job_id)
@@ -363,7 +374,7 @@
         now = self._term.clock.monotonic()
         health = self._term.health
         queue = record.job.queue
-        if health.note_end(self._state.worker_id, end, step, now, queue):
+        if health.observe_end(self._state.worker_id, end, step, now, queue):
             logs.event(
                 "worker-set-aside",
                 "WARNING",
@@ -372,18 +383,19 @@
                 run=end.run,
             )
 
-    async def _settle(
+    async def _reconcile(
         self,
-        listed: collections_abc.Set[model.RunId],
+        ended_runs: collections_abc.Set[model.RunId],
         sent_at: float,
-        whole: bool = True,
+        is_complete: bool = True,
     ) -> None:
-        """Finds out what became of placed runs that are not running.
+        """Reconciles the runs placed on the worker with its report.
 
         Args:
-            listed: Runs whose ends are in the report.
-            sent_at: When the report was asked for, monotonic.
-            whole: Whether a run that is not in the report is not there.
+            ended_runs: Runs whose ends are in the report.
+            sent_at: Monotonic time at which the report was requested.
+            is_complete: Whether the absence of a run from the report shows
+                that it is not running.
         """
         releases = []
         for run in list(self._term.ledger.runs_on(self._state.worker_id)):
@@ -391,26 +403,26 @@
             if stop is None and self._is_stray(run):
                 self._orders.stop(run, "its worker has started again")
             elif run in self._state.running:
-                self._see(run)
-            elif run in listed or run in self._state.starting:
+                self._record_running(run)
+            elif run in ended_runs or run in self._state.starting:
                 continue
             elif stop is not None:
                 acknowledged = stop.acknowledged_at
-                if acknowledged is None or not whole:
+                if acknowledged is None or not is_complete:
                     continue
                 if acknowledged <= sent_at:
                     releases.append(self._state.release(run, "it never began"))
             elif run not in self._state.started:
                 self._orders.start(run)  # placed by an earlier leader
-            elif whole:
-                self._miss(run)
+            elif is_complete:
+                self._record_missing(run)
         await self._state.commit_releases(releases)
 
     def _is_stray(self, run: model.RunId) -> bool:
         record = self._term.ledger.runs.get(run)
         return record is not None and record.is_stray
 
-    def _see(self, run: model.RunId) -> None:
+    def _record_running(self, run: model.RunId) -> None:
         record = self._term.ledger.runs.get(run)
         if (
             record is not None
@@ -419,13 +431,13 @@
         ):
             logs.event("run-seen", run=run, worker=self._state.worker_id)
         if record is not None and not record.seen:
-            self._term.note_seen(run)
+            self._term.record_seen(run)
         self._state.started[run] = 0
 
-    def _miss(self, run: model.RunId) -> None:
-        """A run that was started is in a report in no way."""
+    def _record_missing(self, run: model.RunId) -> None:
+        """Counts a report without a started run; stops it at the limit."""
         self._state.started[run] += 1
-        if self._state.started[run] >= MISSED_REPORTS:
+        if self._state.started[run] >= MAX_MISSED_REPORTS:
             self._orders.stop(run, "its worker does not know it")
 
     async def _release_all(self, reason: str) -> None:
--- a/laburnumsill/batch/term.py
+++ b/laburnumsill/batch/term.py
@@ -1,4 +1,4 @@
-"""What the parts of a scheduler's term share."""
+"""Interface of the leader's term that its worker sessions depend on."""
 
 import abc
 
@@ -12,16 +12,16 @@
 
 
 class Term(abc.ABC):
-    """What a session needs of the scheduler that leads.
+    """The leader's term, as worker sessions use it.
 
     Attributes:
-        ledger: The replicated record as applied on this VM.
-        client: Gives orders to workers.
+        ledger: The ledger as applied on this VM.
+        client: Sends orders to workers.
         clock: The clock of this process.
-        fence: The term of the lead, on every order.
-        health: What was observed of workers.
+        fence: Raft term of this leader, the fencing token of every order.
+        health: Observed failures, stalls and run times of workers.
         longest_lease_ms: The longest lease that workers grant.
-        attempt: How long workers are given for an answer.
+        order_timeout: Adaptive timeout of orders.
     """
 
     ledger: ledgers.BatchLedger
@@ -30,44 +30,52 @@
     fence: int
     health: worker_health.WorkerHealth
     longest_lease_ms: int
-    attempt: learnt_wait.LearntWait
+    order_timeout: learnt_wait.LearntWait
 
     @abc.abstractmethod
     async def commit(self, command: object) -> object:
-        """Returns a command's result; a lost lead ends the term instead."""
+        """Commits a command and returns its result.
+
+        The term ends if the commit fails.
+        """
 
     @abc.abstractmethod
-    async def verified(self, worker: model.Worker) -> None:
-        """Notes that a worker was there after another claimed its place.
+    async def end_other_incarnations(self, worker: model.Worker) -> None:
+        """Ends the sessions of other incarnations with a worker's name.
 
-        Others of its name have ended, since one incarnation lives at a time.
+        Called when a contested worker has answered: only one incarnation of a
+        name is alive at a time.
         """
 
     @abc.abstractmethod
     def is_served(self, pool: str) -> bool:
-        """Returns whether a run may ever have been ordered in a pool."""
+        """Returns whether runs may ever have been started in a pool."""
 
     @abc.abstractmethod
-    def wake(self) -> None:
-        """Has a plan made soon."""
+    def request_plan(self) -> None:
+        """Requests a new plan."""
 
     @abc.abstractmethod
-    def note_seen(self, run: model.RunId) -> None:
-        """Notes that a run was seen running for the first time."""
+    def record_seen(self, run: model.RunId) -> None:
+        """Records that a worker has first listed a run as running."""
 
     @abc.abstractmethod
-    def fenced_off(self, worker_id: str) -> None:
-        """Notes that a worker obeys a later leader."""
+    def step_down(self, worker_id: str) -> None:
+        """Ends the term: a worker obeys the leader of a later one."""
 
     @abc.abstractmethod
-    def doubt_domain_of(self, worker: model.Worker) -> None:
-        """Notes that a worker does not answer any more.
+    def probe_domain_of(self, worker: model.Worker) -> None:
+        """Probes the other workers in the failure domain of a worker.
 
-        Its failure domain may be cut off, so the others are asked.
+        Called when the worker becomes unreachable, since its whole domain may
+        be cut off.
         """
 
     def log_end(self, job_id: str) -> None:
-        """Writes a line if a job has ended, with what its end is judged by."""
+        """Logs the end of a job with the data to evaluate its response time.
+
+        A job that is unknown or active is not logged.
+        """
         record = self.ledger.jobs.get(job_id)
         if record is None or record.active:
             return
--- a/laburnumsill/batch/tests/test_run_times.py
+++ b/laburnumsill/batch/tests/test_run_times.py
@@ -31,7 +31,7 @@
 
     def apply(self, command):
         self.ledger.commands()[type(command)](command)
-        self.times.take(command)
+        self.times.observe(command)
 
     def job(self, job_id, declared_ms, queue="q", **step):
         spec = model.Step(step.pop("tasks", 1), NEEDS, declared_ms, **step)
--- a/laburnumsill/batch/tests/test_session.py
+++ b/laburnumsill/batch/tests/test_session.py
@@ -75,9 +75,9 @@
         self.fence = 7
         self.health = worker_health.WorkerHealth()
         self.longest_lease_ms = 10_000
-        self.attempt = learnt_wait.LearntWait(0.1, 0.5, 4)
-        self.doubted = []
-        self.confirmed = []
+        self.order_timeout = learnt_wait.LearntWait(0.1, 0.5, 4)
+        self.probed_domains = []
+        self.verified_workers = []
         self.committed = []
         step = model.Step(1, model.Resources(1000, 1000, 1))
         terms = model.QueueTerms("pool", 1, 3)
@@ -90,29 +90,29 @@
         self.session = sessions.WorkerSession(
             WORKER, self, nursery, self.clock.monotonic()
         )
-        self.session.hear(1000)
+        self.session.observe_heartbeat(1000)
 
     async def commit(self, command):
         await trio.sleep(0.005)
         self.committed.append(command)
         self.ledger.commands()[type(command)](command)
 
-    async def verified(self, worker):
-        self.confirmed.append(worker.worker_id)
+    async def end_other_incarnations(self, worker):
+        self.verified_workers.append(worker.worker_id)
 
     def is_served(self, pool):
         return pool == WORKER.pool
 
-    def wake(self):
+    def request_plan(self):
         pass
 
-    def note_seen(self, run):
+    def record_seen(self, run):
         pass
 
-    def doubt_domain_of(self, worker):
-        self.doubted.append(worker.domain)
+    def probe_domain_of(self, worker):
+        self.probed_domains.append(worker.domain)
 
-    def fenced_off(self, worker_id):
+    def step_down(self, worker_id):
         self.committed.append("fenced off")
 
     def released(self):
@@ -186,10 +186,12 @@
         await trio.sleep(0.1)
         order = getattr(term.session, kind)
         order(*(RUN, "test")[: 2 if kind == "stop" else 1])
-        await trio.sleep(orders.ATTEMPT_S + 0.02)
-        assert term.session.failing_since is not None
+        await trio.sleep(orders.MAX_ORDER_TIMEOUT_S + 0.02)
+        assert term.session.unreachable_since is not None
         await trio.sleep(orders.RETRY_PAUSE_S + 0.02)
-        assert term.session.failing_since is None  # it answered the next one
+        assert (
+            term.session.unreachable_since is None
+        )  # it answered the next one
 
     play(script)
 
@@ -200,7 +202,9 @@
         term.client.start_answers = [lost] * 10
         term.client.stop_answers = [lost, lost]
         term.session.start(RUN)
-        await trio.sleep(orders.START_GIVE_UP_S + 2 * orders.ATTEMPT_S)
+        await trio.sleep(
+            orders.START_TIMEOUT_S + 2 * orders.MAX_ORDER_TIMEOUT_S
+        )
         assert term.client.given("stop")
         assert not term.released()  # no stop has been acknowledged
         await trio.sleep(5.0)
@@ -214,12 +218,12 @@
         session = term.session
         session.stop(RUN, "test")
         await trio.lowlevel.checkpoint()
-        await session._settle(set(), trio.current_time())
+        await session._reconcile(set(), trio.current_time())
         assert not term.released()
         await trio.sleep(0.01)  # now it is acknowledged
-        await session._settle(set(), trio.current_time() - 0.05)
+        await session._reconcile(set(), trio.current_time() - 0.05)
         assert not term.released()
-        await session._settle(set(), trio.current_time())
+        await session._reconcile(set(), trio.current_time())
         assert [one.run for one in term.released()] == [RUN]
 
     play(script)
@@ -243,7 +247,7 @@
         term.session.start(RUN)
         await trio.sleep(0.1)
         assert [one.run for one in term.released()] == [RUN]
-        assert term.session.unwell_until > trio.current_time()
+        assert term.session.start_backoff_until > trio.current_time()
 
     play(script)
 
@@ -354,7 +358,7 @@
     seen = []
 
     async def script(term):
-        term.note_seen = seen.append
+        term.record_seen = seen.append
         part = worker_client.Report(
             1000, running().running, (), unread_running=1
         )
@@ -385,7 +389,7 @@
         term.commit = fail
         report = ended(commands.EndKind.DONE)
         with pytest.raises(errors.NoQuorumError):
-            await term.session._take(report, trio.current_time())
+            await term.session._process_report(report, trio.current_time())
 
     play(script)
 
@@ -460,7 +464,9 @@
         term.client.stop_answers = []
         term.client.reports = [running()]
         # An attempt that was under way has to end first.
-        await trio.sleep(orders.ATTEMPT_S + orders.RETRY_PAUSE_S + 0.05)
+        await trio.sleep(
+            orders.MAX_ORDER_TIMEOUT_S + orders.RETRY_PAUSE_S + 0.05
+        )
         assert len(term.client.given("stop")) == before + 1
 
     play(script)
--- a/laburnumsill/batch/tests/test_session_lives.py
+++ b/laburnumsill/batch/tests/test_session_lives.py
@@ -8,7 +8,7 @@
 from laburnumsill.batch.tests import test_session
 
 
-def replaced(term):
+def replacement_error(term):
     """Has a successor of the worker be known, and answer for it."""
     following = msgspec.structs.replace(
         test_session.WORKER, worker_id="w@9", name="w"
@@ -19,7 +19,7 @@
 
 def test_runs_of_a_worker_that_started_again_go_to_its_successor():
     async def script(term):
-        term.client.reports = [test_session.running(), replaced(term)]
+        term.client.reports = [test_session.running(), replacement_error(term)]
         term.session.start(test_session.RUN)
         await trio.sleep(0.5)
         (removal,) = term.committed
@@ -39,7 +39,7 @@
         await trio.sleep(14.0)
         assert not term.committed
         assert test_session.RUN in term.ledger.runs
-        assert term.session.failing_since is not None
+        assert term.session.unreachable_since is not None
         assert len(term.client.given("report")) < 35
 
     test_session.play(script)
@@ -65,8 +65,8 @@
         await trio.sleep(0.1)
         term.session.verify()
         await trio.sleep(1.0)
-        assert not term.confirmed  # the report before waits for an end
+        assert not term.verified_workers  # the report before waits for an end
         await trio.sleep(1.5)
-        assert term.confirmed == ["w"]
+        assert term.verified_workers == ["w"]
 
     test_session.play(script)
--- a/laburnumsill/batch/tests/test_worker_speeds.py
+++ b/laburnumsill/batch/tests/test_worker_speeds.py
@@ -29,7 +29,7 @@
 
     def apply(self, command):
         self.ledger.commands()[type(command)](command)
-        self.speeds.take(command)
+        self.speeds.observe(command)
 
     def run_step(self, job_id, source, **step):
         """Runs a job with one step; slow workers take 1.3 times as long."""
--- a/laburnumsill/batch/worker_health.py
+++ b/laburnumsill/batch/worker_health.py
@@ -1,7 +1,7 @@
-"""Telling slow, hanging and failing workers from bad jobs.
+"""Detection of slow, stalled and faulty workers, as distinct from faulty jobs.
 
-Everything here is the leader's own observation and may be forgotten: a new
-leader learns it again within seconds. Nothing that must hold rests on it.
+The data are the leader's own observations and are not replicated: a new leader
+collects them again within seconds. No correctness guarantee depends on them.
 """
 
 import collections
@@ -15,99 +15,107 @@
 from laburnumsill.batch import worker_client
 from laburnumsill.batch import worker_speeds
 
-SET_ASIDE_S = 4.0
-"""How long a failing or hanging worker gets nothing, at first; the users'
-troubles of this kind last 5 to 7 s."""
+QUARANTINE_S = 4.0
+"""First quarantine of a faulty worker; such faults last 5 to 7 s at the users'
+sites."""
 
-LONGEST_SET_ASIDE_S = 16.0
-"""The same when it goes on; it doubles each time."""
+MAX_QUARANTINE_S = 16.0
+"""Upper bound of the quarantine, which doubles each time."""
 
-STALLED_AFTER_S = 2.5
-"""A run whose progress stood still for so long hangs; a worker reports whole
-percents, and the longest runs of the users do one in a third of a second."""
+STALL_TIMEOUT_S = 2.5
+"""Time without progress after which a run is stalled. Workers report whole
+percents; the longest runs of the users need a third of a second for one."""
 
-GANG_STALLED_AFTER_S = 3.5
-"""The same for a gang, whose members wait up to 3 s for each other."""
+GANG_STALL_TIMEOUT_S = 3.5
+"""Stall timeout of gang members, which wait up to 3 s for each other."""
 
-SAMPLES = 12
-"""Newest relative run times of a worker that are gone by."""
+MAX_RATIO_SAMPLES = 12
+"""Number of newest relative run times that are kept of a worker."""
 
 VERY_SLOW = 2.0
-"""Relative run time from which a worker is used only if nothing else is."""
+"""Relative run time from which a worker is used only as a last resort."""
 
 NOT_VERY_SLOW = VERY_SLOW - 0.01
-"""What a worker counts for at most that was not very slow of late."""
+"""Upper bound of the relative run time of a worker that is not very slow."""
 
-VERY_SLOW_FOR_S = 10.0
-"""A worker counts as very slow only by run times of the last seconds: it gets
-no runs then, so nothing else would ever show that it has recovered."""
+RECENT_RATIO_WINDOW_S = 10.0
+"""Sliding window of the run times that make a worker very slow. A very slow
+worker gets no runs, so no new run time could show that it has recovered."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Standing:
-    """What is known of one worker.
+class _WorkerRecord:
+    """Observations of one worker.
 
     Attributes:
-        aside_until: It gets nothing before this point, monotonic.
-        aside_s: How long it was set aside last.
-        ratios: Newest run times relative to those of other workers, each
-            with when it was seen, monotonic.
+        quarantined_until: Monotonic time at which its quarantine ends.
+        quarantine_s: Length of its last quarantine; 0 after a success.
+        ratios: Pairs of a monotonic time and the run time that was observed
+            then, relative to those on other workers.
     """
 
-    aside_until: float = 0.0
-    aside_s: float = 0.0
+    quarantined_until: float = 0.0
+    quarantine_s: float = 0.0
     ratios: collections.deque[tuple[float, float]] = dataclasses.field(
-        default_factory=lambda: collections.deque(maxlen=SAMPLES)
+        default_factory=lambda: collections.deque(maxlen=MAX_RATIO_SAMPLES)
     )
 
 
 @dataclasses.dataclass(slots=True)
-class _Seen:
+class _RunProgress:
+    """Progress of a run.
+
+    Attributes:
+        percent: The last reported progress.
+        changed_at: Monotonic time of the last change.
+        started_at: Monotonic time of the start, or of the first report.
+    """
+
     percent: int
-    since: float
-    first_at: float
+    changed_at: float
+    started_at: float
 
 
 class WorkerHealth:
-    """What the leader has observed of workers and of tasks on them."""
+    """Observed failures, stalls and run times, by worker and task."""
 
     def __init__(self) -> None:
-        self._workers: dict[str, _Standing] = {}
-        self._seen: dict[model.RunId, _Seen] = {}
+        self._workers: dict[str, _WorkerRecord] = {}
+        self._progress_by_run: dict[model.RunId, _RunProgress] = {}
         self._failed_on: dict[model.TaskId, set[str]] = {}
         self._durations: dict[model.StepKey, list[float]] = {}
         self._evidence = failure_evidence.FailureEvidence()
 
     def set_aside(self, worker_id: str, now: float) -> bool:
-        """Returns whether a worker is to get nothing now."""
-        standing = self._workers.get(worker_id)
-        return standing is not None and now < standing.aside_until
+        """Returns whether a worker is in quarantine."""
+        record = self._workers.get(worker_id)
+        return record is not None and now < record.quarantined_until
 
     def slowness_lately(self, worker_id: str, now: float) -> float:
-        """Returns the run time on a worker, against others, of late.
+        """Returns the median relative run time in the sliding window.
 
-        1.0 if it is not known; `worker_speeds` knows what is usual.
+        1.0 if there is none. `worker_speeds` estimates the long-term value.
         """
-        standing = self._workers.get(worker_id)
-        if standing is None or not standing.ratios:
+        record = self._workers.get(worker_id)
+        if record is None or not record.ratios:
             return 1.0
-        since = now - VERY_SLOW_FOR_S
-        recent = [ratio for at, ratio in standing.ratios if at >= since]
+        window_start = now - RECENT_RATIO_WINDOW_S
+        recent = [ratio for at, ratio in record.ratios if at >= window_start]
         return statistics.median(recent) if recent else 1.0
 
     def avoid(self, task: model.TaskId) -> abc.Set[str]:
-        """Returns the workers on which a task has failed or hung."""
+        """Returns the workers on which a task has failed or stalled."""
         return self._failed_on.get(task, set())
 
     def keep_jobs(self, jobs: abc.Container[str]) -> None:
-        """Forgets what was observed of the tasks of all other jobs."""
+        """Drops the observations of tasks of all other jobs."""
         for task in [t for t in self._failed_on if t.job_id not in jobs]:
             del self._failed_on[task]
         for key in [key for key in self._durations if key[0] not in jobs]:
             del self._durations[key]
         self._evidence.keep_jobs(jobs)
 
-    def note_end(
+    def observe_end(
         self,
         worker_id: str,
         end: commands.EndedRun,
@@ -115,22 +123,22 @@
         now: float,
         queue: str = "",
     ) -> bool:
-        """Takes note of an end; returns whether the worker is set aside.
+        """Records the end of a run; returns whether the worker is quarantined.
 
         Args:
             worker_id: The worker.
             end: The end.
             step: The step of the run.
-            now: Monotonic point.
-            queue: Of the job.
+            now: Monotonic time.
+            queue: The queue of the job.
         """
-        seen = self._seen.pop(end.run, None)
-        standing = self._workers.setdefault(worker_id, _Standing())
+        seen = self._progress_by_run.pop(end.run, None)
+        record = self._workers.setdefault(worker_id, _WorkerRecord())
         if end.kind is commands.EndKind.DONE:
             self._evidence.done(worker_id, queue, end.run.task.job_id)
-            standing.aside_s = 0.0
+            record.quarantine_s = 0.0
             if seen is not None and step.tells_speed and not end.saved:
-                self._compare(standing, end.run, seen.first_at, now)
+                self._compare(record, end.run, seen.started_at, now)
             return False
         if end.kind is not commands.EndKind.FAILED:
             return False
@@ -138,53 +146,57 @@
         job_id = end.run.task.job_id
         if not self._evidence.failed(worker_id, queue, job_id, now):
             return False
-        self._put_aside(standing, now)
+        self._quarantine(record, now)
         return True
 
-    def note_started(self, run: model.RunId, now: float) -> None:
-        """Takes note that a run has begun."""
-        self._seen.setdefault(run, _Seen(0, now, now))
+    def observe_start(self, run: model.RunId, now: float) -> None:
+        """Records the start of a run."""
+        self._progress_by_run.setdefault(run, _RunProgress(0, now, now))
 
-    def note_running(
+    def observe_progress(
         self, seen: worker_client.RunningRun, gang: bool, now: float
     ) -> bool:
-        """Takes note of progress; returns whether the run hangs."""
-        known = self._seen.get(seen.run)
+        """Records progress; returns whether the run is stalled."""
+        known = self._progress_by_run.get(seen.run)
         if known is None:
-            self._seen[seen.run] = _Seen(seen.percent, now, now)
+            self._progress_by_run[seen.run] = _RunProgress(
+                seen.percent, now, now
+            )
             return False
         if seen.percent != known.percent:
             known.percent = seen.percent
-            known.since = now
+            known.changed_at = now
             return False
-        limit = GANG_STALLED_AFTER_S if gang else STALLED_AFTER_S
-        return seen.percent < 100 and now - known.since >= limit
+        limit = GANG_STALL_TIMEOUT_S if gang else STALL_TIMEOUT_S
+        return seen.percent < 100 and now - known.changed_at >= limit
 
-    def note_hang(self, worker_id: str, run: model.RunId, now: float) -> None:
-        """Sets a worker aside on which a single task hangs."""
+    def quarantine_for_stall(
+        self, worker_id: str, run: model.RunId, now: float
+    ) -> None:
+        """Quarantines a worker on which a run is stalled."""
         self._failed_on.setdefault(run.task, set()).add(worker_id)
-        standing = self._workers.setdefault(worker_id, _Standing())
-        self._put_aside(standing, now)
+        record = self._workers.setdefault(worker_id, _WorkerRecord())
+        self._quarantine(record, now)
 
     def forget_run(self, run: model.RunId) -> None:
-        """Forgets a run that will list no end."""
-        self._seen.pop(run, None)
+        """Drops a run whose end will not be reported."""
+        self._progress_by_run.pop(run, None)
 
-    def _put_aside(self, standing: _Standing, now: float) -> None:
-        if now < standing.aside_until:
+    def _quarantine(self, record: _WorkerRecord, now: float) -> None:
+        if now < record.quarantined_until:
             return
-        longer = max(SET_ASIDE_S, 2 * standing.aside_s)
-        standing.aside_s = min(longer, LONGEST_SET_ASIDE_S)
-        standing.aside_until = now + standing.aside_s
+        longer = max(QUARANTINE_S, 2 * record.quarantine_s)
+        record.quarantine_s = min(longer, MAX_QUARANTINE_S)
+        record.quarantined_until = now + record.quarantine_s
 
     def _compare(
-        self, standing: _Standing, run: model.RunId, began: float, now: float
+        self, record: _WorkerRecord, run: model.RunId, began: float, now: float
     ) -> None:
-        """Compares a run's time with those of its siblings elsewhere."""
+        """Records a run's time relative to those of its step's other runs."""
         took_s = now - began
         times = self._durations.setdefault(run.task.step_key, [])
         if len(times) >= worker_speeds.MIN_SIBLINGS:
             usual = statistics.median(times)
             if usual > 0:
-                standing.ratios.append((now, took_s / usual))
+                record.ratios.append((now, took_s / usual))
         times.append(took_s)
--- a/laburnumsill/batch/worker_speeds.py
+++ b/laburnumsill/batch/worker_speeds.py
@@ -1,12 +1,12 @@
-"""How fast workers are, from how long tasks of the same step took on them.
+"""Estimation of worker speeds from the run times of tasks of the same step.
 
-Tasks of one step have about the same work, so what one of them took tells of
-its worker once it is compared with the others. A step's tasks run on several
-workers and a worker runs tasks of several steps; both effects are fitted
-together, as means of the logarithms (a two-way layout).
+Tasks of one step have about the same work, so the run time of one of them,
+relative to the others, is a measure of its worker's speed. A step's tasks run
+on several workers and a worker runs tasks of several steps; both effects are
+fitted together, as means of the logarithms (a two-way layout).
 
-Everything is taken from the replicated commands, so each replica learns the
-same, and a new leader knows what the old one knew.
+The estimates depend only on the replicated commands, so all replicas have the
+same ones, and a new leader starts with those of its predecessor.
 """
 
 import collections
@@ -21,45 +21,52 @@
 from laburnumsill.batch import placed_runs
 
 NOTICEABLY_SLOW = 1.12
-"""Relative run time from which a worker counts as slower than others."""
+"""Relative run time from which a worker counts as slow."""
 
-SAMPLES_A_WORKER = 16
-"""Newest run times of a worker that are gone by; the users' workers end
-about a task in two seconds."""
+SAMPLES_PER_WORKER = 16
+"""Number of newest run times used for a worker; the users' workers end about
+one task in two seconds."""
 
-STEPS = 64
-"""Newest steps whose run times are compared."""
+MAX_STEPS = 64
+"""Number of newest steps whose run times are compared."""
 
 MIN_SIBLINGS = 3
-"""So many tasks of a step must have ended before they are compared."""
+"""Number of ended tasks of a step from which their times are compared."""
 
-CAUTION = 2.0
-"""A worker counts as one of usual speed as strongly as so many run times
-would show it: tasks of the users' steps differ by 0.2 (sigma of the
-logarithm), their workers by 0.13, and (0.2 / 0.13) squared is 2.4."""
+PRIOR_SAMPLES = 2.0
+"""Weight of the prior assumption of average speed, in run times (shrinkage).
+Tasks of the users' steps differ by 0.2 and their workers by 0.13 (sigma of the
+logarithm); the ratio of the variances, (0.2 / 0.13)^2, is 2.4."""
 
-LARGEST_EFFECT = 0.7
-"""A single run time counts for no more than twice the usual one (its
-logarithm): what is slower than that passes, see `worker_health`."""
+MAX_EFFECT = 0.7
+"""Bound of a single residual, about the logarithm of 2, so that one run time
+counts as at most twice the mean. Larger slowness is temporary and is handled by
+`worker_health`."""
 
-USUAL_QUANTILE = 0.25
-"""Workers are compared with the one at this rank among those known: slow
+BASELINE_QUANTILE = 0.25
+"""Quantile of the worker effects that is the baseline of relative run times.
+It is below the median so that the baseline is a worker of normal speed: slow
 workers are the minority."""
 
 
 @dataclasses.dataclass(slots=True)
 class _StepTimes:
-    """What the tasks of a step took, as logarithms of seconds."""
+    """Run times of a step's tasks, as logarithms of seconds.
+
+    Attributes:
+        times: Pairs of a worker and the time of a task on it.
+        mean: Mean time, corrected by the effects of the workers.
+    """
 
     times: list[tuple[str, float]] = dataclasses.field(default_factory=list)
-    usual: float = 0.0
+    mean: float = 0.0
 
 
 class WorkerSpeeds:
-    """Learns from the commands of one ledger.
+    """Estimates of the relative run times of workers.
 
     Args:
-        ledger: The ledger that the commands were applied to.
+        ledger: The ledger to which the commands are applied.
     """
 
     def __init__(self, ledger: ledgers.BatchLedger) -> None:
@@ -72,22 +79,25 @@
             str, collections.deque[tuple[model.StepKey, float]]
         ] = {}
         self._effects: dict[str, float] = {}
-        self._usual_effect = 0.0
+        self._baseline_effect = 0.0
 
     def slowness(self, worker_id: str) -> float:
-        """Returns the run time on a worker relative to usual ones."""
+        """Returns the run time on a worker relative to the baseline.
+
+        1.0 if the worker has no estimate.
+        """
         effect = self._effects.get(worker_id)
         if effect is None:
             return 1.0
-        return math.exp(effect - self._usual_effect)
+        return math.exp(effect - self._baseline_effect)
 
-    def take(self, command: object) -> None:
-        """Takes note of a command that was applied to the ledger."""
+    def observe(self, command: object) -> None:
+        """Updates the estimates after a command was applied to the ledger."""
         done = self._placed.done_by(command)
         for run in done:
             self._add(run.task, run.worker_id, math.log(run.took_ms / 1000))
         if done:
-            self._fit_usual()
+            self._fit_baseline()
         if isinstance(command, commands.RemoveWorker):
             self._workers.pop(command.worker_id, None)
             self._effects.pop(command.worker_id, None)
@@ -97,17 +107,17 @@
         step = self._steps.setdefault(key, _StepTimes())
         step.times.append((worker_id, time))
         times = self._workers.setdefault(
-            worker_id, collections.deque(maxlen=SAMPLES_A_WORKER)
+            worker_id, collections.deque(maxlen=SAMPLES_PER_WORKER)
         )
         times.append((key, time))
-        if len(self._steps) > STEPS:
+        if len(self._steps) > MAX_STEPS:
             self._steps.popitem(last=False)
         if len(step.times) >= MIN_SIBLINGS:
             self._fit(step)
 
     def _fit(self, step: _StepTimes) -> None:
-        """Fits a step's usual time, then the workers that its tasks ran on."""
-        step.usual = statistics.fmean(
+        """Fits a step's mean time, then the workers that its tasks ran on."""
+        step.mean = statistics.fmean(
             time - self._effects.get(worker_id, 0.0)
             for worker_id, time in step.times
         )
@@ -115,25 +125,25 @@
             self._fit_worker(worker_id)
 
     def _fit_worker(self, worker_id: str) -> None:
-        differences = list(self._differences(worker_id))
-        if differences:
-            self._effects[worker_id] = sum(differences) / (
-                len(differences) + CAUTION
+        residuals = list(self._residuals(worker_id))
+        if residuals:
+            self._effects[worker_id] = sum(residuals) / (
+                len(residuals) + PRIOR_SAMPLES
             )
 
-    def _differences(self, worker_id: str) -> abc.Iterator[float]:
+    def _residuals(self, worker_id: str) -> abc.Iterator[float]:
         for key, time in self._workers.get(worker_id, ()):
             step = self._steps.get(key)
             if step is not None and len(step.times) >= MIN_SIBLINGS:
-                difference = time - step.usual
-                yield max(-LARGEST_EFFECT, min(LARGEST_EFFECT, difference))
+                residual = time - step.mean
+                yield max(-MAX_EFFECT, min(MAX_EFFECT, residual))
 
-    def _fit_usual(self) -> None:
+    def _fit_baseline(self) -> None:
         known = sorted(self._effects.values())
         if known:
-            self._usual_effect = known[int(len(known) * USUAL_QUANTILE)]
+            self._baseline_effect = known[int(len(known) * BASELINE_QUANTILE)]
 
 
 def _is_comparable(step: model.Step, _: commands.Group) -> bool:
-    """Whether a run's time will tell of its worker."""
+    """Returns whether a run's time is a measure of its worker's speed."""
     return step.tells_speed
--- a/laburnumsill/batch/worker_state.py
+++ b/laburnumsill/batch/worker_state.py
@@ -1,4 +1,4 @@
-"""What the leader knows of one worker, and what its messages change."""
+"""State that the leader keeps for one worker."""
 
 import dataclasses
 import math
@@ -13,22 +13,24 @@
 from laburnumsill.core import errors
 from laburnumsill.core import logs
 
-STOP_PROLONGING_AFTER_S = 1.5
-"""After so long without an answer leases are prolonged no more, since an
-order that seems lost may have arrived: only then do they ever end for sure."""
+RENEWAL_TIMEOUT_S = 1.5
+"""A worker that has been unreachable for longer gets no lease renewals. An
+order that seems lost may have arrived, so its leases would never be certain to
+expire if they were still renewed."""
 
-ANNOUNCED_WITHIN_S = 4.0
-"""A worker that has not announced itself for so long gets no new runs, since
-its capacity may have shrunk; it does so every 1.5 s."""
+ANNOUNCEMENT_MAX_AGE_S = 4.0
+"""Age at which a worker's last announcement is stale. The worker then gets no
+new runs, since its capacity may have shrunk; workers announce every 1.5 s."""
 
 
 @dataclasses.dataclass(slots=True)
-class Stop:
+class StopOrder:
     """An order to stop a run.
 
     Attributes:
-        reason: Why.
-        acknowledged_at: When the worker acknowledged it, monotonic.
+        reason: Why the run is stopped, for the log.
+        acknowledged_at: Monotonic time at which the worker acknowledged the
+            order; None before.
     """
 
     reason: str
@@ -36,27 +38,33 @@
 
 
 class WorkerState:
-    """One worker as its session and its orders see it.
+    """State of one worker, shared by its session and its orders.
+
+    Args:
+        worker: The worker as announced.
+        term: The leader's term.
+        announced_at: Monotonic time of the worker's last announcement.
 
     Attributes:
-        worker: What it says of itself.
-        term: The lead under which it is dealt with.
-        leases: Its clock, and how long its leases may last.
-        running: What it listed as running, by run.
-        started: Runs that it has confirmed, with the reports since then that
-            did not list them.
-        starting: Runs whose start orders are under way.
-        ordered: Runs that were ordered here, or may have been by an earlier
-            leader.
-        stops: Runs that it was told to stop.
+        worker: The worker as announced.
+        term: The leader's term.
+        leases: The worker's clock and the expiry of its leases.
+        running: Runs in the worker's last report, by id.
+        started: Number of consecutive reports that lacked a run, for each run
+            that the worker has confirmed to have started.
+        starting: Runs whose start orders are in progress.
+        ordered: Runs for which a start order was sent to this worker, or may
+            have been sent by an earlier leader.
+        stops: Stop orders by run.
         wakeup: Set when the session has something to do.
-        regained: Set when a worker answers again that did not.
-        heard_at: When it was last heard from, monotonic.
-        announced_at: When it last said what it has, monotonic.
-        answered_at: When it last answered a call, monotonic.
-        failing_since: Since when calls to it have failed, None if they have
-            not.
-        unwell_until: It is given no new runs before this point, monotonic.
+        reachable_again: Set when an unreachable worker answers again.
+        last_contact_at: Monotonic time of the last message from the worker.
+        announced_at: Monotonic time of the last announcement.
+        answered_at: Monotonic time of the last answer to a call.
+        unreachable_since: Monotonic time of the first failed call after the
+            last answer; None while calls succeed.
+        start_backoff_until: Monotonic time before which no run is placed on
+            the worker.
     """
 
     def __init__(
@@ -70,99 +78,100 @@
         self.started: dict[model.RunId, int] = {}
         self.starting: set[model.RunId] = set()
         self.ordered = set(term.ledger.runs_on(worker.worker_id))
-        self.stops: dict[model.RunId, Stop] = {}
+        self.stops: dict[model.RunId, StopOrder] = {}
         self.wakeup = trio.Event()
-        self.regained = trio.Event()
-        self.heard_at = now
+        self.reachable_again = trio.Event()
+        self.last_contact_at = now
         self.announced_at = announced_at
         self.answered_at = -math.inf
-        self.failing_since: float | None = None
-        self.unwell_until = now
+        self.unreachable_since: float | None = None
+        self.start_backoff_until = now
 
     @property
     def worker_id(self) -> str:
-        """The worker."""
+        """The worker's id."""
         return self.worker.worker_id
 
     @property
-    def lost(self) -> bool:
-        """Whether calls have failed for so long that leases are to end."""
-        since = self.failing_since
+    def renewal_suspended(self) -> bool:
+        """Whether the worker has been unreachable for too long to renew."""
+        since = self.unreachable_since
         now = self.term.clock.monotonic()
-        return since is not None and now - since > STOP_PROLONGING_AFTER_S
+        return since is not None and now - since > RENEWAL_TIMEOUT_S
 
     @property
-    def announced_lately(self) -> bool:
-        """Whether what is known of its room is new enough to start runs."""
+    def announcement_is_fresh(self) -> bool:
+        """Whether the last announcement is recent enough to start runs."""
         age_s = self.term.clock.monotonic() - self.announced_at
-        return age_s < ANNOUNCED_WITHIN_S
+        return age_s < ANNOUNCEMENT_MAX_AGE_S
 
     def saved(self, run: model.RunId) -> str:
-        """Returns the newest progress of a run that was seen, or ""."""
+        """Returns a run's last reported saved progress, or ""."""
         seen = self.running.get(run)
         return seen.saved if seen else ""
 
     def progress(self) -> list[commands.SeenRun]:
-        """Returns the progress of all live runs that were seen here."""
+        """Returns the last reported progress of the worker's live runs."""
         return [
             commands.SeenRun(run, seen.saved)
             for run, seen in self.running.items()
             if run in self.term.ledger.runs_on(self.worker_id)
         ]
 
-    def hear(self, clock_ms: int | None) -> None:
-        """Notes a heartbeat, with the worker's clock when it was sent."""
-        if not self.announced_lately:
-            self.term.wake()
+    def observe_heartbeat(self, clock_ms: int | None) -> None:
+        """Records a heartbeat and the worker's clock when it was sent."""
+        if not self.announcement_is_fresh:
+            self.term.request_plan()
         self.announced_at = self.term.clock.monotonic()
-        self._hear(clock_ms)
+        self._record_contact(clock_ms)
 
-    def _hear(self, clock_ms: int | None) -> None:
+    def _record_contact(self, clock_ms: int | None) -> None:
         now = self.term.clock.monotonic()
-        self.heard_at = now
+        self.last_contact_at = now
         if clock_ms is not None:
             self.leases.observe(clock_ms, now)
 
-    async def ask(self) -> None:
-        """Asks whether this incarnation is there.
+    async def probe(self) -> None:
+        """Probes the worker with a report that renews no lease.
 
         Raises:
-            errors.LaburnumsillError: It is not, or does not answer.
+            errors.LaburnumsillError: The worker did not answer, or another
+                incarnation did.
         """
         now = self.term.clock.monotonic()
-        noted = self.term.ledger.noted(self.worker_id)
-        order = worker_client.ReportOrder(None, self.term.fence, noted, 0)
-        deadline = now + self.term.attempt.seconds
+        last_end = self.term.ledger.noted(self.worker_id)
+        order = worker_client.ReportOrder(None, self.term.fence, last_end, 0)
+        deadline = now + self.term.order_timeout.seconds
         report = await self.term.client.report(self.worker, order, deadline)
-        self.answered(report.clock_ms, now)
+        self.record_answer(report.clock_ms, now)
 
-    def answered(
+    def record_answer(
         self, clock_ms: int | None, asked_at: float | None = None
     ) -> None:
-        """Notes that a call was answered.
+        """Records the answer to a call; the worker is reachable.
 
         Args:
-            clock_ms: The worker's clock then, None if it did not say.
-            asked_at: When the call was made, monotonic; None for one that the
-                worker was to answer later.
+            clock_ms: The worker's clock in the answer, or None.
+            asked_at: Monotonic time of the call, to measure the round trip;
+                None for a report whose answer the worker was to delay.
         """
         now = self.term.clock.monotonic()
         if asked_at is not None:
-            self.term.attempt.note(now, now - asked_at)
-        if self.failing_since is not None:
+            self.term.order_timeout.note(now, now - asked_at)
+        if self.unreachable_since is not None:
             logs.event("worker-regained", worker=self.worker_id)
-            self.regained.set()
-            self.regained = trio.Event()
-            self.term.wake()
-        self.failing_since = None
+            self.reachable_again.set()
+            self.reachable_again = trio.Event()
+            self.term.request_plan()
+        self.unreachable_since = None
         self.answered_at = now
-        self._hear(clock_ms)
+        self._record_contact(clock_ms)
 
-    def unanswered(self, error: errors.LaburnumsillError) -> None:
-        """Notes that a call was not answered: it is given no new runs."""
-        if self.failing_since is not None:
+    def mark_unreachable(self, error: errors.LaburnumsillError) -> None:
+        """Marks the worker as unreachable, so that it gets no new runs."""
+        if self.unreachable_since is not None:
             return
-        self.failing_since = self.term.clock.monotonic()
+        self.unreachable_since = self.term.clock.monotonic()
         logs.event(
             "worker-lost",
             "WARNING",
@@ -171,20 +180,22 @@
             detail=error.detail,
         )
         self.wakeup.set()
-        self.term.doubt_domain_of(self.worker)
-        self.term.wake()
+        self.term.probe_domain_of(self.worker)
+        self.term.request_plan()
 
-    def is_over(self, run: model.RunId) -> bool:
-        """Returns whether a run neither runs there nor may do so."""
+    def has_ended(self, run: model.RunId) -> bool:
+        """Returns whether a run is neither placed on nor listed by it."""
         live = run in self.term.ledger.runs_on(self.worker_id)
         return not live and run not in self.running
 
-    async def replaced(
+    async def handle_replacement(
         self, error: worker_client.IncarnationReplacedError
     ) -> None:
-        """Another incarnation has the worker's name and may have its orders.
+        """Handles the answer of another incarnation of the worker.
 
-        Until that one is known, nothing can be said of the runs.
+        The successor may have received this one's orders. Until it has
+        announced itself, the state of the runs is unknown and the worker only
+        counts as unreachable.
         """
         successors = [
             other.worker_id
@@ -192,21 +203,21 @@
             if other.worker_id != self.worker_id
         ]
         if successors:
-            await self.gone(error.detail, successors[-1])
+            await self.remove(error.detail, successors[-1])
         else:
-            self.unanswered(error)
+            self.mark_unreachable(error)
 
-    async def gone(self, reason: str, successor: str = "") -> None:
-        """The worker's incarnation has ended, and all that ran on it.
+    async def remove(self, reason: str, successor: str = "") -> None:
+        """Removes the worker after its incarnation and its runs have ended.
 
         Args:
-            reason: Why that is certain.
-            successor: Another incarnation that may have orders for its runs,
-                "" if none can.
+            reason: Why the end is certain, for the log.
+            successor: Id of another incarnation that may have received orders
+                for the runs, or "".
         """
         lost = list(self.term.ledger.runs_on(self.worker_id))
-        concerned = {run.task.job_id for run in lost}
-        concerned &= self.term.ledger.active_jobs.keys()
+        affected = {run.task.job_id for run in lost}
+        affected &= self.term.ledger.active_jobs.keys()
         crashed = not self.worker.draining
         logs.event(
             "worker-gone",
@@ -229,9 +240,9 @@
         )
         for run in lost:
             self._log_lost(run)
-        for job_id in sorted(concerned):
+        for job_id in sorted(affected):
             self.term.log_end(job_id)
-        self.term.wake()
+        self.term.request_plan()
 
     def _log_lost(self, run: model.RunId) -> None:
         logs.event(
@@ -245,13 +256,13 @@
     def release(
         self, run: model.RunId, reason: str, is_lost: bool = False
     ) -> commands.Release:
-        """Returns the release of a run, with its newest progress."""
+        """Returns the release of a run, with its last reported progress."""
         return commands.Release(
             run, self.worker_id, reason, self.saved(run), is_lost
         )
 
     async def commit_releases(self, releases: list[commands.Release]) -> None:
-        """Commits that some runs certainly do not run and never will."""
+        """Releases runs that are certain not to run now or later."""
         if not releases:
             return
         for one in releases:
@@ -267,4 +278,4 @@
             self.term.health.forget_run(one.run)
         at_ms = self.term.clock.wall_ms()
         await self.term.commit(commands.ReleaseRuns(tuple(releases), at_ms))
-        self.term.wake()
+        self.term.request_plan()
