--- a/laburnumsill/batch/tests/test_run_times.py
+++ b/laburnumsill/batch/tests/test_run_times.py
@@ -1,4 +1,4 @@
-"""Learning how long tasks take from the commands of the ledger."""
+"""Tests of the run time estimates from the commands of the ledger."""
 
 import math
 import random
@@ -18,15 +18,15 @@
 
 
 class Log:
-    """Applies commands to a ledger and has run times follow them."""
+    """Applies commands to a ledger and to the run time estimates."""
 
     def __init__(self):
         self.ledger = ledgers.BatchLedger()
         self.times = run_times.RunTimes(self.ledger)
         self.ends = 0
         for name in ("w0", "w1"):
-            room = model.Resources(100_000, 100_000, 100)
-            worker = model.Worker(name, "p", name, "d", room, (), name)
+            capacity = model.Resources(100_000, 100_000, 100)
+            worker = model.Worker(name, "p", name, "d", capacity, (), name)
             self.apply(commands.PutWorker(worker))
 
     def apply(self, command):
@@ -38,7 +38,7 @@
         return model.Job(job_id, queue, "a", "", (spec,), TERMS)
 
     def run(self, job, *took_ms, places=("w0",)):
-        """Runs all tasks of a job; they take these times."""
+        """Submits a job and runs its tasks with the given run times."""
         self.apply(caller_commands.SubmitJob(job, 0))
         runs = [
             model.RunId(model.TaskId(job.job_id, 0, 0, index), 1)
@@ -63,18 +63,18 @@
         return self.times.expected_ms(self.job("new", declared_ms, queue), 0)
 
 
-def test_what_is_declared_counts_until_something_was_seen():
+def test_the_declared_time_is_expected_without_observations():
     assert Log().expected_ms(700) == 700
 
 
 def mean_error(seed, usual_ms, spread, declared_error):
-    """Returns how far expected times are off, once ten jobs were seen.
+    """Returns the mean error of expected times after the first ten jobs.
 
     Args:
-        seed: Of the draws.
-        usual_ms: Of the jobs' work.
-        spread: Sigma of the logarithm of their work.
-        declared_error: The same of what is declared of it.
+        seed: Seed of the random generator.
+        usual_ms: Median run time of the jobs.
+        spread: Sigma of the logarithm of the run times.
+        declared_error: Sigma of the logarithm of the declared times' errors.
     """
     log = Log()
     source = random.Random(seed)
@@ -90,10 +90,12 @@
 
 
 def test_declared_times_that_are_far_off_are_corrected():
-    assert mean_error(1, 6800, 0.3, 0.9) < 0.4  # declared ones are 0.7 off
+    assert (
+        mean_error(1, 6800, 0.3, 0.9) < 0.4
+    )  # the mean error of the declared times is 0.7
 
 
-def test_good_declared_times_are_kept_where_the_work_differs():
+def test_accurate_declared_times_are_kept_in_a_queue_with_a_large_spread():
     assert mean_error(2, 2500, 0.8, 0.1) < 0.2
 
 
@@ -105,20 +107,20 @@
     assert log.expected_ms(1000, "other") > 4000
 
 
-def test_without_a_declared_time_the_usual_one_counts():
+def test_the_mean_of_the_queue_is_expected_without_a_declared_time():
     log = Log()
     log.run(log.job("j", 0), 5000)
     assert log.expected_ms(0) == pytest.approx(5000)
 
 
-def test_short_tasks_of_a_step_do_not_count_for_all():
+def test_a_step_counts_with_the_mean_of_all_its_tasks():
     log = Log()
     job = log.job("j", 0, tasks=3)
     log.run(job, 1000, 8000, 8000)
     assert log.expected_ms(0) == pytest.approx(4000)  # the geometric mean
 
 
-def test_a_gang_counts_once_though_each_member_ends():
+def test_a_gang_counts_once():
     log = Log()
     log.run(log.job("gang", 0, tasks=9, gang=True), *[8000] * 9)
     log.run(log.job("single", 0), 2000)
@@ -132,13 +134,13 @@
         ({"gang": True, "same_rack": True}, ("w0", "w1")),
     ],
 )
-def test_runs_that_are_slow_where_they_are_tell_nothing(step, places):
+def test_runs_far_from_their_data_or_split_over_racks_are_ignored(step, places):
     log = Log()
     log.run(log.job("j", 1000, tasks=2, **step), 9000, 9000, places=places)
     assert log.expected_ms(1000) == 1000
 
 
-def test_a_wide_step_may_take_several_waves():
+def test_the_objective_of_a_wide_step_allows_for_several_waves():
     log = Log()
     # 200 slots in all, so 50 in a wave
     log.apply(caller_commands.SubmitJob(log.job("wide", 1000, tasks=51), 0))
--- a/laburnumsill/batch/tests/test_session.py
+++ b/laburnumsill/batch/tests/test_session.py
@@ -1,4 +1,4 @@
-"""Sessions against a worker whose answers a test decides on."""
+"""Tests of worker sessions against a client with scripted answers."""
 
 import msgspec
 import pytest
@@ -26,7 +26,7 @@
 
 
 class ScriptedClient(worker_client.WorkerClient):
-    """Answers with what a test put in: reports, or errors to raise."""
+    """Client that records orders and returns or raises scripted answers."""
 
     def __init__(self):
         self.orders = []
@@ -124,7 +124,7 @@
         ]
 
 
-def play(script):
+def run_script(script):
     async def main():
         async with trio.open_nursery() as nursery:
             term = FakeTerm(nursery)
@@ -147,7 +147,7 @@
     )
 
 
-def test_an_end_is_committed_before_the_worker_may_forget_it():
+def test_an_end_is_committed_before_it_is_acknowledged():
     async def script(term):
         term.client.reports = [running(), ended(commands.EndKind.DONE)]
         term.session.start(RUN)
@@ -155,12 +155,12 @@
         (note,) = term.committed
         assert note.ends[0].kind is commands.EndKind.DONE
         noted = [order.noted for order in term.client.given("report")]
-        assert noted == [0, 0, 1]  # a last report lets it forget, then peace
+        assert noted == [0, 0, 1]  # the last report acknowledges the end
 
-    play(script)
+    run_script(script)
 
 
-def test_a_start_without_an_answer_is_given_again():
+def test_an_unanswered_start_order_is_retried():
     async def script(term):
         term.client.start_answers = [worker_client.NoAnswerError("lost")]
         term.client.reports = [running()] * 3
@@ -171,12 +171,12 @@
         assert starts[1].lease_ms > starts[0].lease_ms
         assert not term.committed
 
-    play(script)
+    run_script(script)
 
 
 @pytest.mark.parametrize("kind", ["start", "stop"])
-def test_a_worker_that_leaves_an_order_unanswered_gets_no_new_runs(kind):
-    """Reports wait for two seconds, so they tell it too late."""
+def test_an_unanswered_order_makes_the_worker_unreachable(kind):
+    """Reports wait for two seconds, too long to detect the failure by them."""
 
     async def script(term):
         lost = [worker_client.NoAnswerError("lost")]
@@ -189,14 +189,12 @@
         await trio.sleep(orders.MAX_ORDER_TIMEOUT_S + 0.02)
         assert term.session.unreachable_since is not None
         await trio.sleep(orders.RETRY_PAUSE_S + 0.02)
-        assert (
-            term.session.unreachable_since is None
-        )  # it answered the next one
+        assert term.session.unreachable_since is None  # the retry was answered
 
-    play(script)
+    run_script(script)
 
 
-def test_a_start_given_up_counts_as_gone_only_after_an_acknowledged_stop():
+def test_a_run_whose_start_timed_out_is_released_after_an_acknowledged_stop():
     async def script(term):
         lost = worker_client.NoAnswerError("lost")
         term.client.start_answers = [lost] * 10
@@ -210,26 +208,26 @@
         await trio.sleep(5.0)
         assert [one.run for one in term.released()] == [RUN]
 
-    play(script)
+    run_script(script)
 
 
-def test_a_report_from_before_the_stop_proves_nothing():
+def test_a_report_requested_before_the_stop_was_acknowledged_releases_no_run():
     async def script(term):
         session = term.session
         session.stop(RUN, "test")
         await trio.lowlevel.checkpoint()
         await session._reconcile(set(), trio.current_time())
         assert not term.released()
-        await trio.sleep(0.01)  # now it is acknowledged
+        await trio.sleep(0.01)  # the stop is acknowledged now
         await session._reconcile(set(), trio.current_time() - 0.05)
         assert not term.released()
         await session._reconcile(set(), trio.current_time())
         assert [one.run for one in term.released()] == [RUN]
 
-    play(script)
+    run_script(script)
 
 
-def test_a_run_that_is_over_there_is_not_released_before_its_end_is_read():
+def test_a_run_that_has_ended_is_not_released_before_its_end_is_reported():
     async def script(term):
         term.client.start_answers = [worker_client.RunOverError("old")]
         term.client.reports = [ended(commands.EndKind.DONE)]
@@ -238,10 +236,10 @@
         assert not term.released()
         assert term.ledger.jobs["j"].state is caller_commands.JobState.COMPLETED
 
-    play(script)
+    run_script(script)
 
 
-def test_what_was_refused_at_once_is_free_at_once():
+def test_a_refused_first_start_order_releases_the_run_at_once():
     async def script(term):
         term.client.start_answers = [worker_client.NothingDoneError("busy")]
         term.session.start(RUN)
@@ -249,10 +247,10 @@
         assert [one.run for one in term.released()] == [RUN]
         assert term.session.start_backoff_until > trio.current_time()
 
-    play(script)
+    run_script(script)
 
 
-def test_a_refusal_after_a_lost_order_proves_nothing():
+def test_a_refusal_after_an_unanswered_order_releases_no_run():
     async def script(term):
         term.client.start_answers = [
             worker_client.NoAnswerError("lost"),
@@ -264,10 +262,10 @@
         assert not term.released()
         assert term.client.given("stop")
 
-    play(script)
+    run_script(script)
 
 
-def test_silence_releases_only_when_the_leases_have_ended():
+def test_runs_of_a_silent_worker_are_released_when_the_leases_have_expired():
     async def script(term):
         term.client.reports = [running()]
         term.session.start(RUN)
@@ -279,10 +277,10 @@
         await trio.sleep(4.0)
         assert [one.run for one in term.released()] == [RUN]
 
-    play(script)
+    run_script(script)
 
 
-def test_another_incarnation_at_the_address_ends_all_at_once():
+def test_another_incarnation_at_the_address_removes_the_worker():
     async def script(term):
         gone = worker_client.IncarnationGoneError("421")
         term.client.reports = [running(), gone]
@@ -291,20 +289,20 @@
         assert "w" not in term.ledger.workers
         assert not term.ledger.runs
 
-    play(script)
+    run_script(script)
 
 
-def test_a_worker_that_obeys_another_leader_ends_the_term():
+def test_a_worker_that_accepted_a_later_term_ends_the_term():
     async def script(term):
         term.client.reports = [worker_client.FencedOffError("9")]
         term.session.start(RUN)
         await trio.sleep(0.05)
         assert "fenced off" in term.committed
 
-    play(script)
+    run_script(script)
 
 
-def test_a_run_that_nobody_asked_for_is_stopped():
+def test_a_listed_run_that_is_not_in_the_ledger_is_stopped():
     async def script(term):
         other = msgspec.structs.replace(RUN, number=2)
         stray = worker_client.RunningRun(other, "", 1)
@@ -316,11 +314,11 @@
         await trio.sleep(0.1)
         assert term.client.given("stop") == [other]
 
-    play(script)
+    run_script(script)
 
 
-def test_a_run_of_a_step_that_its_job_lacks_is_stopped():
-    """Nothing that a worker lists may end the session."""
+def test_a_listed_run_of_an_unknown_step_is_stopped():
+    """No content of a report may end the session."""
 
     async def script(term):
         task = model.TaskId("j", 0, 99, 0)
@@ -336,10 +334,10 @@
         assert term.client.given("stop")[0] == stray
         assert term.ledger.noted("w") == 1
 
-    play(script)
+    run_script(script)
 
 
-def test_a_report_with_an_unread_row_proves_that_nothing_is_gone():
+def test_a_report_with_a_malformed_row_releases_no_run():
     async def script(term):
         unread = worker_client.Report(1000, (), (), unread_running=1)
         term.client.reports = [running(), *[unread] * 8, running()]
@@ -349,12 +347,14 @@
         await trio.sleep(1.0)
         assert term.client.given("stop") == [RUN]
         assert not term.released()
-        assert len(term.client.given("report")) < 12  # it pauses between
+        assert (
+            len(term.client.given("report")) < 12
+        )  # the session pauses in between
 
-    play(script)
+    run_script(script)
 
 
-def test_what_is_read_of_a_report_counts_though_a_row_is_not():
+def test_the_valid_rows_of_a_report_with_a_malformed_row_count():
     seen = []
 
     async def script(term):
@@ -366,11 +366,11 @@
         term.session.start(RUN)
         await trio.sleep(0.2)
 
-    play(script)
+    run_script(script)
     assert seen == [RUN]
 
 
-def test_a_run_that_its_worker_forgot_is_stopped_and_placed_again():
+def test_a_run_missing_in_reports_is_stopped_and_released():
     async def script(term):
         term.client.reports = [running()]
         term.session.start(RUN)
@@ -378,10 +378,10 @@
         assert term.client.given("stop") == [RUN]
         assert [one.run for one in term.released()] == [RUN]
 
-    play(script)
+    run_script(script)
 
 
-def test_errors_of_a_commit_are_not_swallowed():
+def test_a_failed_commit_raises_its_error():
     async def script(term):
         async def fail(command):
             raise errors.NoQuorumError("no lead")
@@ -391,26 +391,27 @@
         with pytest.raises(errors.NoQuorumError):
             await term.session._process_report(report, trio.current_time())
 
-    play(script)
+    run_script(script)
 
 
 STRAY = model.RunId(model.TaskId("cancelled", 0, 0, 0), 1)
 
 
-def make_idle(term):
-    """Takes the only run back, so that nothing is believed to be there."""
+def release_run(term):
+    """Releases the only run, so that the ledger has none on the worker."""
     release = commands.Release(RUN, "w", "test")
     term.ledger.release(commands.ReleaseRuns((release,), 0))
 
 
-def test_each_worker_is_asked_once_by_each_leader_though_it_seems_idle():
-    """Orders of an earlier leader may be carried out late, or have been.
+def test_each_leader_requests_a_report_of_an_idle_worker():
+    """Orders of an earlier leader may have been delayed or carried out.
 
-    The question brings the new fence, so none is carried out after it.
+    The report request carries the new fence, after which the worker rejects
+    delayed orders.
     """
 
     async def script(term):
-        make_idle(term)
+        release_run(term)
         lost = worker_client.NoAnswerError("lost")
         listed = worker_client.RunningRun(STRAY, "", 1)
         still_there = worker_client.Report(1000, (listed,), ())
@@ -427,12 +428,12 @@
         assert [one.noted for one in reports] == [0, 0, 0, 0, 1]
         assert {one.fence for one in reports} == {term.fence}
 
-    play(script)
+    run_script(script)
 
 
-def test_a_run_that_outlives_its_stop_is_stopped_again():
+def test_a_run_that_outlives_its_stop_gets_another_stop_order():
     async def script(term):
-        make_idle(term)
+        release_run(term)
         listed = worker_client.RunningRun(STRAY, "", 1)
         report = worker_client.Report(1000, (listed,), ())
         term.client.reports = [report] * 1000
@@ -440,14 +441,14 @@
         stops = term.client.given("stop")
         assert 2 <= len(stops) <= 4 and set(stops) == {STRAY}
 
-    play(script)
+    run_script(script)
 
 
-def test_stops_to_a_worker_that_is_cut_off_are_few_and_come_with_its_return():
-    """The load: a failure domain is cut off for 10 s while urgent jobs come.
+def test_stop_orders_to_a_cut_off_worker_back_off_until_it_is_reachable():
+    """A failure domain is cut off for 10 s while urgent jobs arrive.
 
-    Each stop there was given every 0.2 s, 332 times in one such day: a new
-    connection and a log line each.
+    Without backoff each stop order is sent every 0.2 s, 332 times in one such
+    scenario, with a new connection and a log line each.
     """
 
     async def script(term):
@@ -463,17 +464,20 @@
         before = len(term.client.given("stop"))
         term.client.stop_answers = []
         term.client.reports = [running()]
-        # An attempt that was under way has to end first.
+        # An order in progress has to time out first.
         await trio.sleep(
             orders.MAX_ORDER_TIMEOUT_S + orders.RETRY_PAUSE_S + 0.05
         )
         assert len(term.client.given("stop")) == before + 1
 
-    play(script)
+    run_script(script)
 
 
-def test_a_run_that_was_not_ordered_is_told_from_one_that_may_have_begun():
-    """Its worker crashed before the order to start it could be given."""
+def test_the_removal_of_a_worker_lists_runs_without_a_start_order():
+    """The worker crashes before the start order of a run is sent.
+
+    That run certainly has not started; another one of the worker may have.
+    """
 
     async def script(term):
         other = model.Step(2, model.Resources(1000, 1000, 1))
@@ -489,4 +493,4 @@
         assert removal.crashed
         assert removal.never_began == (late,)
 
-    play(script)
+    run_script(script)
--- a/laburnumsill/batch/tests/test_session_lives.py
+++ b/laburnumsill/batch/tests/test_session_lives.py
@@ -1,4 +1,4 @@
-"""Sessions of a worker that starts again under its name."""
+"""Tests of the session with a worker that restarts under the same name."""
 
 import msgspec
 import trio
@@ -9,7 +9,7 @@
 
 
 def replacement_error(term):
-    """Has a successor of the worker be known, and answer for it."""
+    """Announces a successor; returns the error of a call it answered."""
     following = msgspec.structs.replace(
         test_session.WORKER, worker_id="w@9", name="w"
     )
@@ -17,7 +17,7 @@
     return worker_client.IncarnationReplacedError("w@9 has answered for w")
 
 
-def test_runs_of_a_worker_that_started_again_go_to_its_successor():
+def test_runs_of_a_restarted_worker_go_to_its_successor():
     async def script(term):
         term.client.reports = [test_session.running(), replacement_error(term)]
         term.session.start(test_session.RUN)
@@ -26,11 +26,11 @@
         assert (removal.worker_id, removal.successor) == ("w", "w@9")
         assert term.ledger.runs[test_session.RUN].is_stray
 
-    test_session.play(script)
+    test_session.run_script(script)
 
 
-def test_runs_are_kept_while_the_successor_is_not_known():
-    """Nobody can tell whether it carries out their orders."""
+def test_runs_are_kept_until_the_successor_has_announced_itself():
+    """The unknown successor may have received the orders for the runs."""
 
     async def script(term):
         gone = worker_client.IncarnationReplacedError("w@9 has answered")
@@ -42,10 +42,10 @@
         assert term.session.unreachable_since is not None
         assert len(term.client.given("report")) < 35
 
-    test_session.play(script)
+    test_session.run_script(script)
 
 
-def test_a_run_of_an_earlier_life_is_stopped_before_it_is_over():
+def test_a_run_of_an_earlier_incarnation_is_stopped_before_its_release():
     async def script(term):
         term.ledger.runs[test_session.RUN].is_stray = True
         await trio.sleep(1.0)
@@ -53,11 +53,11 @@
         assert term.client.given("stop") == [test_session.RUN]
         assert [one.run for one in term.released()] == [test_session.RUN]
 
-    test_session.play(script)
+    test_session.run_script(script)
 
 
-def test_only_a_report_asked_for_after_the_doubt_tells_who_is_there():
-    """One that waits may have been answered before the other one began."""
+def test_only_a_report_requested_after_the_contest_verifies_the_worker():
+    """A report in progress may be answered before a successor starts."""
 
     async def script(term):
         term.client.reports = [test_session.running()]
@@ -65,8 +65,10 @@
         await trio.sleep(0.1)
         term.session.verify()
         await trio.sleep(1.0)
-        assert not term.verified_workers  # the report before waits for an end
+        assert (
+            not term.verified_workers
+        )  # the earlier report request still waits
         await trio.sleep(1.5)
         assert term.verified_workers == ["w"]
 
-    test_session.play(script)
+    test_session.run_script(script)
--- a/laburnumsill/batch/tests/test_shrunk_workers.py
+++ b/laburnumsill/batch/tests/test_shrunk_workers.py
@@ -1,4 +1,4 @@
-"""Workers whose capacity shrinks while they run, or that have not said so."""
+"""Tests of workers whose capacity shrinks, announced or not."""
 
 import msgspec
 import pytest
@@ -15,7 +15,7 @@
 SMALL = model.Resources(8_000, 8_192, 1)
 
 
-def play(script, racks=1, per_rack=1):
+def run_site(script, racks=1, per_rack=1):
     async def main():
         site = sites.EmulatedSite(1, racks, per_rack)
         async with trio.open_nursery() as nursery:
@@ -40,16 +40,16 @@
     return worker.capacity
 
 
-async def announce(site, room, sequence, clock_ms=None):
+async def announce(site, announced_capacity, sequence, clock_ms=None):
     worker = site.pool.workers["w0-0"].worker
-    said = msgspec.structs.replace(worker, capacity=room)
+    announced = msgspec.structs.replace(worker, capacity=announced_capacity)
     await site.intakes["vm2"].announce(
-        intakes.Announcement(said, sequence, clock_ms)
+        intakes.Announcement(announced, sequence, clock_ms)
     )
 
 
-def test_a_late_announcement_of_more_room_is_not_believed():
-    """It was sent before the worker said, more than once, that it has less."""
+def test_a_delayed_announcement_of_larger_capacity_is_ignored():
+    """An announcement is overtaken by later ones of a smaller capacity."""
 
     async def script(site):
         site.silent.add("w0-0")
@@ -61,11 +61,11 @@
         await announce(site, full, 108)
         assert capacity(site) == full
 
-    play(script)
+    run_site(script)
 
 
-def test_a_new_leader_believes_in_more_room_when_it_is_said_twice():
-    """It has not heard what the leader before it has heard."""
+def test_a_new_leader_accepts_larger_capacity_with_the_second_announcement():
+    """The new leader lacks the sequence numbers that its predecessor had."""
 
     async def script(site):
         site.silent.add("w0-0")
@@ -79,10 +79,10 @@
         await announce(site, full, 108)
         assert capacity(site) == full
 
-    play(script)
+    run_site(script)
 
 
-def test_what_was_heard_before_another_vm_led_is_not_gone_by():
+def test_sequence_numbers_of_an_earlier_term_are_not_used():
     async def script(site):
         site.silent.add("w0-0")
         full = capacity(site)
@@ -95,10 +95,10 @@
         await announce(site, full, 106)
         assert capacity(site) == SMALL
 
-    play(script)
+    run_site(script)
 
 
-def test_a_drain_is_believed_at_once_though_more_room_is_not():
+def test_a_new_leader_accepts_a_drain_at_once_but_not_larger_capacity():
     async def script(site):
         site.silent.add("w0-0")
         full = capacity(site)
@@ -113,11 +113,11 @@
         assert site.ledger.workers["w0-0"].draining
         assert capacity(site) == SMALL
 
-    play(script)
+    run_site(script)
 
 
-def test_a_new_leader_starts_no_run_where_the_room_has_gone():
-    """The run was placed by the leader before it, and never ordered."""
+def test_a_new_leader_starts_no_run_that_exceeds_a_shrunk_capacity():
+    """A run was placed by the previous leader, but its start was not sent."""
 
     async def script(site):
         await site.submit(job("j", 1, 8), [1.0])
@@ -134,28 +134,28 @@
         await trio.sleep(4.0)
         assert not site.ledger.runs
 
-    play(script)
+    run_site(script)
 
 
-@pytest.mark.parametrize("dark_s", [5.0, 12.0])
-def test_after_a_time_without_a_leader_workers_are_heard_before_they_are_used(
-    dark_s,
+@pytest.mark.parametrize("leaderless_s", [5.0, 12.0])
+def test_a_new_leader_waits_for_announcements_after_a_time_without_a_leader(
+    leaderless_s,
 ):
     async def script(site):
         site.groups.lead("")
         site.pool.workers["w0-0"].resize(SMALL)
-        await trio.sleep(dark_s)
+        await trio.sleep(leaderless_s)
         site.groups.lead("vm2")
         await site.submit(job("j", 4), [1.0])
         await trio.sleep(8.0)
         site.look()
         assert site.outcomes["j"].state == "completed"
 
-    play(script)
+    run_site(script)
 
 
-def test_a_worker_that_only_answers_orders_gets_no_new_runs():
-    """Its answers do not say how much room it has."""
+def test_a_worker_that_does_not_announce_itself_gets_no_new_runs():
+    """Answers to orders do not contain the worker's capacity."""
 
     async def script(site):
         await site.submit(job("j", 1), [30.0])
@@ -167,11 +167,11 @@
         await trio.sleep(4.0)
         assert {run.task.job_id for run in site.ledger.runs} == {"j"}
 
-    play(script)
+    run_site(script)
 
 
-def test_nothing_is_planned_where_more_is_in_use_than_there_is():
-    """The ledger would refuse it, again and again."""
+def test_no_run_is_planned_on_an_overcommitted_worker():
+    """The ledger would refuse such a placement after each plan."""
     ledger = planned_site.site(1, 1)
     planned_site.occupy(ledger, "w00", "o", 8)
     worker = msgspec.structs.replace(
--- a/laburnumsill/batch/tests/test_worker_health.py
+++ b/laburnumsill/batch/tests/test_worker_health.py
@@ -12,8 +12,8 @@
     return model.RunId(model.TaskId(job, 0, 0, index), 1)
 
 
-def end(which, kind):
-    return commands.EndedRun(1, which, kind)
+def end(run_id, kind):
+    return commands.EndedRun(1, run_id, kind)
 
 
 def failed(health, worker, job, now):
@@ -22,7 +22,7 @@
     )
 
 
-def test_different_jobs_in_a_row_are_the_workers_fault():
+def test_consecutive_failures_of_different_jobs_quarantine_a_worker():
     health = worker_health.WorkerHealth()
     assert not failed(health, "w", "a", 1.0)
     assert not failed(health, "w", "a", 2.0)  # one bad job proves nothing
@@ -31,7 +31,7 @@
     assert not health.set_aside("w", 3.0 + worker_health.QUARANTINE_S)
 
 
-def test_something_done_clears_a_worker():
+def test_a_success_clears_earlier_failures_of_a_worker():
     health = worker_health.WorkerHealth()
     failed(health, "w", "a", 1.0)
     done = end(run("c"), commands.EndKind.DONE)
@@ -39,21 +39,21 @@
     assert not failed(health, "w", "b", 3.0)
 
 
-def test_a_worker_that_goes_on_failing_is_set_aside_for_longer():
+def test_the_quarantine_of_a_worker_doubles_up_to_a_limit():
     health = worker_health.WorkerHealth()
     now = 0.0
-    spans = []
+    durations = []
     for number in range(4):
         while not failed(health, "w", f"j{number}{now}", now):
             now += 0.1
         began = now
         while health.set_aside("w", now):
             now += 0.1
-        spans.append(round(now - began))
-    assert spans == [4, 8, 16, 16]
+        durations.append(round(now - began))
+    assert durations == [4, 8, 16, 16]
 
 
-def test_a_task_does_not_go_where_it_failed():
+def test_a_task_avoids_workers_on_which_it_failed():
     health = worker_health.WorkerHealth()
     failed(health, "w", "a", 1.0)
     assert health.avoid(run("a").task) == {"w"}
@@ -63,7 +63,7 @@
     assert health.avoid(run("a").task) == set()
 
 
-def test_progress_that_stands_still_is_a_hang():
+def test_a_run_without_progress_is_stalled():
     health = worker_health.WorkerHealth()
     health.observe_start(run(), 0.0)
     seen = worker_client.RunningRun(run(), "", 0)
@@ -74,7 +74,7 @@
     assert health.observe_progress(moved, False, 4.5)
 
 
-def test_a_gang_may_wait_for_its_members():
+def test_a_gang_member_has_a_longer_stall_timeout():
     health = worker_health.WorkerHealth()
     health.observe_start(run(), 0.0)
     seen = worker_client.RunningRun(run(), "", 0)
@@ -82,14 +82,14 @@
     assert health.observe_progress(seen, True, 3.6)
 
 
-def test_workers_that_were_slow_lately_are_learnt_from_siblings():
+def test_slow_workers_are_detected_from_tasks_of_the_same_step():
     health = worker_health.WorkerHealth()
     for index in range(8):
         worker = "slow" if index % 4 == 3 else f"w{index}"
         took = 1.3 if worker == "slow" else 1.0
-        which = run("j", index)
-        health.observe_start(which, 0.0)
-        done = end(which, commands.EndKind.DONE)
+        run_id = run("j", index)
+        health.observe_start(run_id, 0.0)
+        done = end(run_id, commands.EndKind.DONE)
         health.observe_end(worker, done, STEP, took)
     now = 2.0
     lately = health.slowness_lately
@@ -98,37 +98,37 @@
     assert lately("unknown", now) == 1.0
 
 
-def test_a_gang_says_nothing_about_its_workers_speed():
+def test_gang_runs_do_not_count_for_worker_speed():
     health = worker_health.WorkerHealth()
     for index in range(8):
-        which = run("g", index)
-        health.observe_start(which, 0.0)
-        done = end(which, commands.EndKind.DONE)
+        run_id = run("g", index)
+        health.observe_start(run_id, 0.0)
+        done = end(run_id, commands.EndKind.DONE)
         health.observe_end(f"w{index}", done, GANG, float(1 + index))
     assert health.slowness_lately("w7", 9.0) == 1.0
 
 
-def end_eight(health, step, slow_s):
-    """Eight siblings end, every fourth of them after `slow_s`."""
+def end_eight_runs(health, step, slow_s):
+    """Ends eight runs of a step, every fourth of them after `slow_s`."""
     for index in range(8):
         worker = "slow" if index % 4 == 3 else f"w{index}"
-        which = run("j", index)
-        health.observe_start(which, 0.0)
+        run_id = run("j", index)
+        health.observe_start(run_id, 0.0)
         took_s = slow_s if worker == "slow" else 1.0
-        done = end(which, commands.EndKind.DONE)
+        done = end(run_id, commands.EndKind.DONE)
         health.observe_end(worker, done, step, took_s)
 
 
-def test_a_run_far_from_its_data_says_nothing_about_its_worker():
+def test_runs_far_from_their_data_do_not_count_for_worker_speed():
     health = worker_health.WorkerHealth()
     far = model.Step(8, model.Resources(1000, 64, 1), data_rack="r1")
-    end_eight(health, far, 3.0)
+    end_eight_runs(health, far, 3.0)
     assert health.slowness_lately("slow", 3.0) == 1.0
 
 
-def test_nobody_is_very_slow_for_ever():
+def test_a_very_slow_worker_recovers_after_the_sliding_window():
     health = worker_health.WorkerHealth()
-    end_eight(health, STEP, 5.0)
+    end_eight_runs(health, STEP, 5.0)
     assert health.slowness_lately("slow", 6.0) >= worker_health.VERY_SLOW
     later = 6.0 + worker_health.RECENT_RATIO_WINDOW_S
     assert health.slowness_lately("slow", later) < worker_health.VERY_SLOW
--- a/laburnumsill/batch/tests/test_worker_speeds.py
+++ b/laburnumsill/batch/tests/test_worker_speeds.py
@@ -1,4 +1,4 @@
-"""Learning which workers are slow from the commands of the ledger."""
+"""Tests of the worker speed estimates from the commands of the ledger."""
 
 import random
 
@@ -11,20 +11,20 @@
 WORKERS = [f"w{number}" for number in range(12)]
 SLOW = WORKERS[::3]
 TASKS = 24
-UNEVEN = 0.2
+TASK_SPREAD = 0.2
 
 
 class Log:
-    """Applies commands to a ledger and has speeds follow them."""
+    """Applies commands to a ledger and to the speed estimates."""
 
     def __init__(self):
         self.ledger = ledgers.BatchLedger()
         self.speeds = worker_speeds.WorkerSpeeds(self.ledger)
         self.numbers = dict.fromkeys(WORKERS, 0)
         for name in WORKERS:
-            room = model.Resources(10**6, 10**6, 100)
+            capacity = model.Resources(10**6, 10**6, 100)
             self.apply(
-                commands.PutWorker(model.Worker(name, "p", name, "d", room))
+                commands.PutWorker(model.Worker(name, "p", name, "d", capacity))
             )
 
     def apply(self, command):
@@ -47,7 +47,7 @@
         usual_s = source.uniform(2.0, 12.0)
         ends = []
         for one in placed:
-            took_s = usual_s * source.lognormvariate(0, UNEVEN)
+            took_s = usual_s * source.lognormvariate(0, TASK_SPREAD)
             took_s *= 1.3 if one.worker_id in SLOW else 1.0
             ends.append((1000 + int(1000 * took_s), one))
         for at_ms, one in sorted(ends, key=lambda end: end[0]):
@@ -58,7 +58,7 @@
             self.apply(commands.NoteEnds(one.worker_id, (end,), at_ms))
 
 
-def test_slow_workers_are_told_from_others_though_tasks_are_uneven():
+def test_slow_workers_are_detected_among_uneven_tasks():
     right = 0
     for seed in range(10):
         log = Log()
@@ -70,7 +70,7 @@
     assert right >= 0.85 * 10 * len(SLOW), right
 
 
-def test_nothing_is_said_of_workers_without_run_times():
+def test_workers_without_comparable_run_times_have_no_estimate():
     log = Log()
     assert {log.speeds.slowness(name) for name in WORKERS} == {1.0}
     source = random.Random(1)
@@ -79,7 +79,7 @@
     assert {log.speeds.slowness(name) for name in WORKERS} == {1.0}
 
 
-def test_a_worker_that_is_gone_is_forgotten():
+def test_a_removed_worker_has_no_estimate():
     log = Log()
     log.run_step("j", random.Random(1))
     assert log.speeds.slowness("w0") != 1.0
@@ -87,7 +87,7 @@
     assert log.speeds.slowness("w0") == 1.0
 
 
-def test_two_replicas_learn_the_same():
+def test_two_replicas_have_the_same_estimates():
     logs = [Log(), Log()]
     for log in logs:
         source = random.Random(7)
