--- a/laburnumsill/batch/intake.py
+++ b/laburnumsill/batch/intake.py
@@ -45,7 +45,7 @@
 
 @codec.register("intake.departure")
 class Departure(msgspec.Struct, frozen=True):
-    """Notice that a worker is shutting down.
+    """Notice that a worker has shut down.
 
     Attributes:
         worker_id: The worker's name, which all of its incarnations share.
@@ -119,7 +119,7 @@
     async def _forward(self, message: object) -> str:
         leader = self._groups.leader(self._group)
         if leader is None:
-            raise errors.NoQuorumError("nobody leads")
+            raise errors.NoQuorumError("no VM leads")
         deadline = self._clock.monotonic() + FORWARD_TIMEOUT_S
         answer = await self._peers.call(leader, message, deadline)
         return str(answer.leader)
--- a/laburnumsill/batch/last_lead.py
+++ b/laburnumsill/batch/last_lead.py
@@ -7,8 +7,8 @@
 import math
 
 STALL_S = 1.0
-"""Time without an observation after which the VM counts as stalled. What it
-believes about the leader is then as old as the stall."""
+"""Time without an observation after which the VM counts as stalled. Its
+knowledge of the leader is then from before the stall."""
 
 STALL_RECOVERY_S = 1.0
 """Time after a stall during which observations are ignored. By then the VM has
--- a/laburnumsill/batch/leading.py
+++ b/laburnumsill/batch/leading.py
@@ -39,7 +39,7 @@
 """Interval at which a VM checks whether it leads the group."""
 
 HOUSEKEEPING_INTERVAL_S = 0.5
-"""Interval of housekeeping, and the longest time between two plans."""
+"""Interval of housekeeping, and the longest wait for an event before a plan."""
 
 COMMIT_TIMEOUT_S = 2.0
 """Timeout of a commit. A leader whose commit times out ends its term."""
@@ -183,7 +183,7 @@
                 await self._run_planner()
 
     def is_served(self, pool: str) -> bool:
-        """Returns whether a pool is configured, or was for a known job."""
+        """Returns whether a pool is configured, or a known job is for it."""
         if pool in self._context.pools():
             return True
         jobs = self.ledger.jobs.values()
@@ -415,7 +415,7 @@
         elif record.job.steps[key[2]].gang and not _is_complete(
             record, key, runs
         ):
-            reason = "its gang is not whole"
+            reason = "its gang is incomplete"
         elif not record.has_done_tasks(key):
             return
         for run in runs:
--- a/laburnumsill/batch/orders.py
+++ b/laburnumsill/batch/orders.py
@@ -142,7 +142,7 @@
                 return
             except worker_client.RunOverError:
                 state.stops[run] = worker_state.StopOrder(
-                    "over", clock.monotonic()
+                    "it has ended on the worker", clock.monotonic()
                 )
                 return
             except worker_client.LeaseTooOldError as error:
@@ -164,7 +164,7 @@
                 may_have_started = True
             await trio.sleep(RETRY_PAUSE_S)
         if run in state.term.ledger.runs_on(state.worker_id):
-            self.stop(run, "its start was given up")
+            self.stop(run, "its start timed out")
 
     async def _start_once(self, run: model.RunId) -> bool:
         """Sends one start order; returns whether the run has started."""
--- a/laburnumsill/batch/run_times.py
+++ b/laburnumsill/batch/run_times.py
@@ -111,7 +111,7 @@
     def _is_representative(
         self, step: model.Step, group: commands.Group
     ) -> bool:
-        """Returns whether runs show the time of all work near its data."""
+        """Returns whether runs do all work of their tasks, near their data."""
         if step.data_rack or step.long_running:
             return False
         return not step.same_rack or len(self._racks(group)) == 1
--- a/laburnumsill/batch/session.py
+++ b/laburnumsill/batch/session.py
@@ -29,7 +29,8 @@
 has a price, so shorter waits cost more."""
 
 UNSETTLED_WAIT_MS = 100
-"""Long-poll timeout of a report while it is unknown whether a run started."""
+"""Long-poll timeout of a report while it is unknown whether a run that is being
+stopped ever started."""
 
 
 RESEND_STOP_AFTER_S = 2.0
@@ -74,7 +75,7 @@
         self._state = worker_state.WorkerState(worker, term, announced_at)
         self._orders = orders.Orders(self._state, nursery)
         self._acknowledged_end = term.ledger.noted(worker.worker_id)
-        self._answered = False
+        self._has_reported = False
         self._contested_at: float | None = None
         self._probing = False
 
@@ -204,7 +205,7 @@
         if self._state.unreachable_since is not None:
             return True
         pool = self._state.worker.pool
-        return not self._answered and self._term.is_served(pool)
+        return not self._has_reported and self._term.is_served(pool)
 
     async def _report_once(self) -> None:
         now = self._term.clock.monotonic()
@@ -227,7 +228,7 @@
             await self._handle_report_failure(error)
             return
         self._acknowledged_end = max(self._acknowledged_end, last_end)
-        self._answered = True
+        self._has_reported = True
         await self._finish_verification(now)
         asked_at = None if wait_ms else now
         self._state.record_answer(report.clock_ms, asked_at)
@@ -287,7 +288,7 @@
         self, report: worker_client.Report, sent_at: float
     ) -> None:
         """Processes a report that was requested at `sent_at`, monotonic."""
-        self._state.running = {seen.run: seen for seen in report.running}
+        self._state.running = {listed.run: listed for listed in report.running}
         last_end = self._term.ledger.noted(self._state.worker_id)
         new_ends = tuple(end for end in report.ended if end.number > last_end)
         if new_ends:
@@ -297,7 +298,9 @@
         live = self._term.ledger.runs_on(self._state.worker_id)
         for run in self._state.running:
             if run not in live:
-                self._orders.stop(run, "nobody asked for it any more")
+                self._orders.stop(
+                    run, "the ledger has no such run on this worker"
+                )
         self._resend_stops(sent_at)
         self._stop_stalled_runs()
         for run in [
@@ -319,14 +322,14 @@
     def _stop_stalled_runs(self) -> None:
         """Stops stalled runs, so that their tasks can run elsewhere."""
         now = self._term.clock.monotonic()
-        for run, seen in self._state.running.items():
+        for run, listed in self._state.running.items():
             record = self._term.ledger.jobs.get(run.task.job_id)
             if record is None or run in self._state.stops:
                 continue
             if record.task(run.task) is None:
                 continue
             gang = record.job.steps[run.task.step].gang
-            if not self._term.health.observe_progress(seen, gang, now):
+            if not self._term.health.observe_progress(listed, gang, now):
                 continue
             self._term.health.quarantine_for_stall(
                 self._state.worker_id, run, now
@@ -337,9 +340,9 @@
                 job=run.task.job_id,
                 run=run,
                 worker=self._state.worker_id,
-                percent=seen.percent,
+                percent=listed.percent,
             )
-            self._orders.stop(run, "its progress stands still")
+            self._orders.stop(run, "its progress is stalled")
 
     async def _commit_ends(self, ends: tuple[commands.EndedRun, ...]) -> None:
         for end in ends:
@@ -438,7 +441,7 @@
         """Counts a report without a started run; stops it at the limit."""
         self._state.started[run] += 1
         if self._state.started[run] >= MAX_MISSED_REPORTS:
-            self._orders.stop(run, "its worker does not know it")
+            self._orders.stop(run, "its worker does not list it")
 
     async def _release_all(self, reason: str) -> None:
         runs = self._term.ledger.runs_on(self._state.worker_id)
--- a/laburnumsill/batch/term.py
+++ b/laburnumsill/batch/term.py
@@ -19,7 +19,7 @@
         client: Sends orders to workers.
         clock: The clock of this process.
         fence: Raft term of this leader, the fencing token of every order.
-        health: Observed failures, stalls and run times of workers.
+        health: Observed failures, stalls and run times of workers and tasks.
         longest_lease_ms: The longest lease that workers grant.
         order_timeout: Adaptive timeout of orders.
     """
--- a/laburnumsill/batch/worker_client.py
+++ b/laburnumsill/batch/worker_client.py
@@ -9,7 +9,7 @@
 
 
 class NoAnswerError(errors.OutcomeUnknownError):
-    """No clear answer came; the order may be carried out now or later."""
+    """No clear answer came; the order may have been carried out, or may be."""
 
     slug = "no-worker-answer"
     title = "The worker gave no clear answer"
@@ -48,7 +48,7 @@
 
 
 class RunOverError(OrderRefusedError):
-    """The run, or a later one of its task, has ended on the worker."""
+    """The run, or a later one of its task, has ended or was stopped there."""
 
     slug = "run-over"
     title = "The run is over"
--- a/laburnumsill/batch/worker_health.py
+++ b/laburnumsill/batch/worker_health.py
@@ -39,8 +39,8 @@
 """Upper bound of the relative run time of a worker that is not very slow."""
 
 RECENT_RATIO_WINDOW_S = 10.0
-"""Sliding window of the run times that make a worker very slow. A very slow
-worker gets no runs, so no new run time could show that it has recovered."""
+"""Sliding window of the run times by which a worker counts as very slow. Older
+ones expire: a very slow worker gets no runs that could show its recovery."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -132,13 +132,13 @@
             now: Monotonic time.
             queue: The queue of the job.
         """
-        seen = self._progress_by_run.pop(end.run, None)
+        progress = self._progress_by_run.pop(end.run, None)
         record = self._workers.setdefault(worker_id, _WorkerRecord())
         if end.kind is commands.EndKind.DONE:
             self._evidence.done(worker_id, queue, end.run.task.job_id)
             record.quarantine_s = 0.0
-            if seen is not None and step.tells_speed and not end.saved:
-                self._compare(record, end.run, seen.started_at, now)
+            if progress is not None and step.tells_speed and not end.saved:
+                self._compare(record, end.run, progress.started_at, now)
             return False
         if end.kind is not commands.EndKind.FAILED:
             return False
@@ -154,21 +154,21 @@
         self._progress_by_run.setdefault(run, _RunProgress(0, now, now))
 
     def observe_progress(
-        self, seen: worker_client.RunningRun, gang: bool, now: float
+        self, listed: worker_client.RunningRun, gang: bool, now: float
     ) -> bool:
         """Records progress; returns whether the run is stalled."""
-        known = self._progress_by_run.get(seen.run)
-        if known is None:
-            self._progress_by_run[seen.run] = _RunProgress(
-                seen.percent, now, now
+        progress = self._progress_by_run.get(listed.run)
+        if progress is None:
+            self._progress_by_run[listed.run] = _RunProgress(
+                listed.percent, now, now
             )
             return False
-        if seen.percent != known.percent:
-            known.percent = seen.percent
-            known.changed_at = now
+        if listed.percent != progress.percent:
+            progress.percent = listed.percent
+            progress.changed_at = now
             return False
         limit = GANG_STALL_TIMEOUT_S if gang else STALL_TIMEOUT_S
-        return seen.percent < 100 and now - known.changed_at >= limit
+        return listed.percent < 100 and now - progress.changed_at >= limit
 
     def quarantine_for_stall(
         self, worker_id: str, run: model.RunId, now: float
--- a/laburnumsill/batch/worker_speeds.py
+++ b/laburnumsill/batch/worker_speeds.py
@@ -45,8 +45,7 @@
 
 BASELINE_QUANTILE = 0.25
 """Quantile of the worker effects that is the baseline of relative run times.
-It is below the median so that the baseline is a worker of normal speed: slow
-workers are the minority."""
+Slow workers are the minority, so the worker at this rank has normal speed."""
 
 
 @dataclasses.dataclass(slots=True)
--- a/laburnumsill/batch/worker_state.py
+++ b/laburnumsill/batch/worker_state.py
@@ -107,14 +107,14 @@
 
     def saved(self, run: model.RunId) -> str:
         """Returns a run's last reported saved progress, or ""."""
-        seen = self.running.get(run)
-        return seen.saved if seen else ""
+        listed = self.running.get(run)
+        return listed.saved if listed else ""
 
     def progress(self) -> list[commands.SeenRun]:
         """Returns the last reported progress of the worker's live runs."""
         return [
-            commands.SeenRun(run, seen.saved)
-            for run, seen in self.running.items()
+            commands.SeenRun(run, listed.saved)
+            for run, listed in self.running.items()
             if run in self.term.ledger.runs_on(self.worker_id)
         ]
 
@@ -184,7 +184,7 @@
         self.term.request_plan()
 
     def has_ended(self, run: model.RunId) -> bool:
-        """Returns whether a run is neither placed on nor listed by it."""
+        """Returns whether a run is neither placed here nor listed."""
         live = run in self.term.ledger.runs_on(self.worker_id)
         return not live and run not in self.running
 
