--- a/laburnumsill/batch/live_runs.py
+++ b/laburnumsill/batch/live_runs.py
@@ -1,4 +1,4 @@
-"""The runs that may be running, by all that they are looked up with."""
+"""Index of the live runs by worker, task and step."""
 
 from collections import abc
 
@@ -6,14 +6,14 @@
 from laburnumsill.batch import records
 
 Runs = dict[model.RunId, records.RunRecord]
-"""Runs by their ids."""
+"""Records of live runs by run id."""
 
 
 class LiveRuns:
-    """Runs by id, worker, task and step, and what they occupy.
+    """The live runs by id, worker, task and step, and the resources in use.
 
-    A plan asks for this for each worker and step of the site, so nothing of it
-    is counted anew.
+    All indices are updated incrementally, since the planner reads them for each
+    worker and step of the site.
 
     Examples:
         >>> live = LiveRuns()
@@ -35,7 +35,7 @@
 
     @property
     def all(self) -> abc.Mapping[model.RunId, records.RunRecord]:
-        """All of them."""
+        """All live runs, by id."""
         return self._runs
 
     @property
@@ -44,25 +44,25 @@
     ) -> abc.Mapping[
         model.StepKey, abc.Mapping[model.RunId, records.RunRecord]
     ]:
-        """Those of each step that has any."""
+        """The live runs of each step that has any."""
         return self._of_step
 
     def on_worker(
         self, worker_id: str
     ) -> abc.Mapping[model.RunId, records.RunRecord]:
-        """Returns those on a worker."""
+        """Returns the live runs on a worker."""
         return self._on_worker.get(worker_id, {})
 
     def of_task(self, task: model.TaskId) -> model.RunId | None:
-        """Returns the newest one of a task, or None."""
+        """Returns the newest live run of a task, or None."""
         return self._of_task.get(task)
 
     def used_on(self, worker_id: str) -> model.Resources:
-        """Returns what those on a worker occupy together."""
-        return self._used.get(worker_id, _NOTHING)
+        """Returns the resources that the live runs on a worker occupy."""
+        return self._used.get(worker_id, _NO_RESOURCES)
 
     def add(self, record: records.RunRecord, needs: model.Resources) -> None:
-        """Adds a run that occupies `needs`."""
+        """Adds a live run that occupies `needs`."""
         run = record.run
         worker_id = record.worker_id
         self._runs[run] = record
@@ -73,7 +73,7 @@
         self._used[worker_id] = self.used_on(worker_id) + needs
 
     def remove(self, run: model.RunId) -> records.RunRecord | None:
-        """Removes a run; returns its record, or None if it is not here."""
+        """Removes a run; returns its record, or None if it is not live."""
         record = self._runs.pop(run, None)
         if record is None:
             return None
@@ -88,11 +88,11 @@
         return record
 
 
-_NOTHING = model.Resources()
+_NO_RESOURCES = model.Resources()
 
 
 def _discard(groups: dict, key: object, run: model.RunId) -> None:
-    """Takes a run out of its group, and the group away with its last one."""
+    """Removes a run from its group, and the group if it becomes empty."""
     group = groups[key]
     del group[run]
     if not group:
--- a/laburnumsill/batch/placed_runs.py
+++ b/laburnumsill/batch/placed_runs.py
@@ -1,4 +1,4 @@
-"""How long runs took, told from the commands that placed and ended them."""
+"""Run times, measured from the commands that place and end runs."""
 
 import dataclasses
 from collections import abc
@@ -8,20 +8,21 @@
 from laburnumsill.batch import model
 
 MAX_UNFINISHED = 4_096
-"""Runs that were placed and whose end is waited for, at most."""
+"""Number of tracked runs above which those that are not live are dropped."""
 
-Tells = abc.Callable[[model.Step, commands.Group], bool]
-"""Returns whether the time of a step's run, placed in a group, is wanted."""
+RunFilter = abc.Callable[[model.Step, commands.Group], bool]
+"""Returns whether to measure the runs of a step that are placed in a group."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DoneRun:
-    """A run that was done.
+    """A run that has completed its task.
 
     Attributes:
-        task: Its task.
-        worker_id: Where it ran.
-        took_ms: From its placement to its end, at least 1.
+        task: The task of the run.
+        worker_id: The worker on which it ran.
+        took_ms: Time from its placement to the recording of its end, in ms;
+            at least 1.
     """
 
     task: model.TaskId
@@ -30,50 +31,54 @@
 
 
 class PlacedRuns:
-    """The runs of a ledger that are waited for.
+    """Measures the run times of runs in a ledger.
 
-    Runs that go on from saved progress are left out: they are shorter, and how
-    much is up to the run.
+    Runs that resume from saved progress are not measured: they are shorter by
+    an unknown amount.
 
     Args:
         ledger: The ledger that the commands were applied to.
-        tells: Which other runs are of interest; asked when they are placed.
+        run_filter: Selects the runs to measure when they are placed.
     """
 
-    def __init__(self, ledger: ledgers.BatchLedger, tells: Tells) -> None:
+    def __init__(
+        self, ledger: ledgers.BatchLedger, run_filter: RunFilter
+    ) -> None:
         self._ledger = ledger
-        self._tells = tells
+        self._run_filter = run_filter
         self._placed: dict[model.RunId, tuple[str, int]] = {}
 
     def done_by(self, command: object) -> list[DoneRun]:
-        """Takes note of a command; returns the runs that it says are done."""
+        """Processes an applied command; returns the runs that it completed."""
         if isinstance(command, commands.PlaceRuns):
-            self._place(command)
+            self._track(command)
         elif isinstance(command, commands.NoteEnds):
-            return list(self._end(command))
+            return list(self._completed(command))
         return []
 
-    def _place(self, command: commands.PlaceRuns) -> None:
+    def _track(self, command: commands.PlaceRuns) -> None:
         for group in command.groups:
             for placement in group:
                 run = placement.run
-                if run in self._ledger.runs and self._is_wanted(run, group):
-                    place = (placement.worker_id, command.at_ms)
-                    self._placed[run] = place
+                if run in self._ledger.runs and self._is_selected(run, group):
+                    placed = (placement.worker_id, command.at_ms)
+                    self._placed[run] = placed
         if len(self._placed) > MAX_UNFINISHED:
             live = self._ledger.runs
             self._placed = {
-                run: place for run, place in self._placed.items() if run in live
+                run: placed
+                for run, placed in self._placed.items()
+                if run in live
             }
 
-    def _is_wanted(self, run: model.RunId, group: commands.Group) -> bool:
+    def _is_selected(self, run: model.RunId, group: commands.Group) -> bool:
         record = self._ledger.jobs[run.task.job_id]
         task = record.task(run.task)
         if task is None or task.saved:
             return False
-        return self._tells(record.job.steps[run.task.step], group)
+        return self._run_filter(record.job.steps[run.task.step], group)
 
-    def _end(self, command: commands.NoteEnds) -> abc.Iterator[DoneRun]:
+    def _completed(self, command: commands.NoteEnds) -> abc.Iterator[DoneRun]:
         for end in command.ends:
             worker_id, placed_ms = self._placed.pop(end.run, ("", 0))
             done = end.kind is commands.EndKind.DONE
--- a/laburnumsill/batch/tests/test_leases.py
+++ b/laburnumsill/batch/tests/test_leases.py
@@ -1,12 +1,14 @@
 from laburnumsill.batch import leases
 
 
-def test_a_lease_lasts_longer_on_a_worker_whose_clock_stood_still():
-    """Its machine was suspended for five seconds and has answered since."""
-    book = leases.LeaseBook(10_000, now=100.0)
-    book.observe(5_000, received_at=100.0)
-    book.granted(14_700)
-    book.observe(6_000, received_at=106.0)
+def test_expiry_is_delayed_while_the_clock_of_a_worker_stands_still():
+    """The worker's machine was suspended for five seconds, then answered."""
+    lease_book = leases.LeaseBook(10_000, now=100.0)
+    lease_book.observe(5_000, received_at=100.0)
+    lease_book.granted(14_700)
+    lease_book.observe(6_000, received_at=106.0)
     left_s = (14_700 - 6_000) / 1000
-    assert book.over_at >= 106.0 + left_s
-    assert book.over_at <= 106.0 + left_s / (1 - leases.CLOCK_DRIFT) + 0.001
+    assert lease_book.over_at >= 106.0 + left_s
+    assert (
+        lease_book.over_at <= 106.0 + left_s / (1 - leases.CLOCK_DRIFT) + 0.001
+    )
