--- a/laburnumsill/batch/caller_commands.py
+++ b/laburnumsill/batch/caller_commands.py
@@ -9,7 +9,7 @@
 
 
 class JobState(enum.StrEnum):
-    """What is shown of a job."""
+    """The state of a job as callers see it."""
 
     QUEUED = "queued"
     RUNNING = "running"
@@ -20,7 +20,7 @@
 
 @codec.register("batch.submit")
 class SubmitJob(msgspec.Struct, frozen=True):
-    """Accepts a job; a second submission with its id changes nothing."""
+    """Submits a job; a second submission with the same id is ignored."""
 
     job: model.Job
     at_ms: int
@@ -28,7 +28,7 @@
 
 @codec.register("batch.cancel")
 class CancelJob(msgspec.Struct, frozen=True):
-    """Cancels a job; one that has ended stays as it is."""
+    """Cancels a job; a job that has ended keeps its state."""
 
     job_id: str
     at_ms: int
@@ -36,27 +36,27 @@
 
 @codec.register("batch.job-query")
 class JobQuery(msgspec.Struct, frozen=True):
-    """Asks for the state of a job."""
+    """Queries the state of a job."""
 
     job_id: str
 
 
 @codec.register("batch.job-answer")
 class JobAnswer(msgspec.Struct, frozen=True):
-    """The state of a job; empty if there is no such job."""
+    """The state of a job, "" if the job does not exist."""
 
     state: str = ""
 
 
 @codec.register("batch.pending-query")
 class PendingQuery(msgspec.Struct, frozen=True):
-    """Asks how many jobs of a queue have not begun."""
+    """Queries the number of active jobs of a queue that have not begun."""
 
     queue: str
 
 
 @codec.register("batch.pending-answer")
 class PendingAnswer(msgspec.Struct, frozen=True):
-    """How many jobs of a queue have not begun."""
+    """The number of active jobs of a queue that have not begun."""
 
     jobs: int
--- a/laburnumsill/batch/commands.py
+++ b/laburnumsill/batch/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the job ledger that only its scheduler gives."""
+"""Commands to the job ledger that only the scheduler issues."""
 
 import enum
 
@@ -9,33 +9,33 @@
 
 
 class EndKind(enum.StrEnum):
-    """How a run ended."""
+    """The way in which a run ended."""
 
     DONE = "done"
     FAILED = "failed"
     STOPPED = "stopped"
     LEASE_ENDED = "lease-ended"
     MEMBER_ENDED = "member-ended"
-    """Another member of its gang ended."""
+    """The run was ended because another member of its gang had ended."""
     INCOMPLETE_GANG = "incomplete-gang"
-    """The other members did not come in time."""
+    """The other members of the gang did not start in time."""
 
 
 @codec.register("batch.placement")
 class Placement(msgspec.Struct, frozen=True):
-    """The worker on which a run is to be started."""
+    """The assignment of a run to a worker."""
 
     run: model.RunId
     worker_id: str
 
 
 Group = tuple[Placement, ...]
-"""Runs that are placed together: all of a gang, or one."""
+"""Placements that succeed or fail together: a whole gang, or one run."""
 
 
 @codec.register("batch.place")
 class PlaceRuns(msgspec.Struct, frozen=True):
-    """Assigns runs to workers; each group is taken whole or not at all."""
+    """Places groups of runs; each group is placed as a whole or refused."""
 
     groups: tuple[Group, ...]
     at_ms: int
@@ -43,20 +43,25 @@
 
 @codec.register("batch.placed")
 class Placed(msgspec.Struct, frozen=True):
-    """Whether each group was taken, and why not where it was not."""
+    """The result of `PlaceRuns`.
+
+    Attributes:
+        refusals: For each group the reason why it was refused, or "" if it
+            was placed.
+    """
 
     refusals: tuple[str, ...]
 
 
 @codec.register("batch.ended-run")
 class EndedRun(msgspec.Struct, frozen=True):
-    """The end of a run as its worker lists it.
+    """The end of a run as its worker reports it.
 
     Attributes:
-        number: The place in the worker's list, rising.
-        run: Which run.
+        number: Sequence number among the worker's ends; increasing.
+        run: Id of the run.
         kind: How it ended.
-        saved: The progress from which a later run can go on, or "".
+        saved: Saved progress from which a later run can resume, or "".
     """
 
     number: int
@@ -67,7 +72,7 @@
 
 @codec.register("batch.note-ends")
 class NoteEnds(msgspec.Struct, frozen=True):
-    """Takes note of ends; only then may the worker forget them."""
+    """Records ends of runs; the worker may discard them only afterwards."""
 
     worker_id: str
     ends: tuple[EndedRun, ...]
@@ -76,14 +81,14 @@
 
 @codec.register("batch.release")
 class Release(msgspec.Struct, frozen=True):
-    """A run that certainly does not run and never will.
+    """The release of a run that is not running and can no longer start.
 
     Attributes:
-        run: Which run.
-        worker_id: Where it was placed.
-        reason: Why that is certain.
-        saved: The newest progress seen, or "".
-        is_lost: Whether the worker has not told what became of it.
+        run: Id of the run.
+        worker_id: The worker on which it was placed.
+        reason: Why it cannot run any more.
+        saved: Newest saved progress that was seen, or "".
+        is_lost: Whether the worker has not reported how the run ended.
     """
 
     run: model.RunId
@@ -95,7 +100,7 @@
 
 @codec.register("batch.release-runs")
 class ReleaseRuns(msgspec.Struct, frozen=True):
-    """Frees what runs held that were never started or are lost."""
+    """Frees the resources of runs that were never started or are lost."""
 
     releases: tuple[Release, ...]
     at_ms: int
@@ -103,7 +108,7 @@
 
 @codec.register("batch.seen-run")
 class SeenRun(msgspec.Struct, frozen=True):
-    """A run that its worker listed as running."""
+    """A run that its worker listed as running, with its saved progress."""
 
     run: model.RunId
     saved: str = ""
@@ -111,20 +116,20 @@
 
 @codec.register("batch.note-running")
 class NoteRunning(msgspec.Struct, frozen=True):
-    """Takes note of runs that were seen running, and of their progress."""
+    """Records that runs were seen running, and their saved progress."""
 
     seen: tuple[SeenRun, ...]
 
 
 @codec.register("batch.put-worker")
 class PutWorker(msgspec.Struct, frozen=True):
-    """Makes a worker known, or changes what is known of it.
+    """Adds a worker, or updates its description.
 
     Attributes:
         worker: The worker.
-        sequence: Of the announcement that said so; an announcement that was
-            overtaken by another changes nothing.
-        at_ms: When the leader heard of it, ms since 1970.
+        sequence: Sequence number of its announcement; an announcement that
+            arrives after a later one is ignored.
+        at_ms: When the leader received the announcement, ms since 1970.
     """
 
     worker: model.Worker
@@ -134,18 +139,19 @@
 
 @codec.register("batch.remove-worker")
 class RemoveWorker(msgspec.Struct, frozen=True):
-    """Forgets a worker that is gone; its runs are lost.
+    """Removes a worker that is gone; its runs are lost.
 
     Attributes:
         worker_id: The worker.
-        reason: Why, for people.
-        saved: Newest progress of its runs.
-        ended_ms: When its incarnation has certainly ended, ms since 1970: it
-            is never known again then. 0 if it may only be cut off.
-        crashed: Whether it has ended without having said so before.
-        successor: The incarnation that has its name now, which may carry out
-            orders for its runs; "" if there is none.
-        never_began: Runs that were placed on it and certainly not ordered.
+        reason: Why it is removed, for operators.
+        saved: Newest saved progress of its runs.
+        ended_ms: When its incarnation ended, ms since 1970; later
+            announcements of this incarnation are ignored. 0 if it is not
+            known to have ended and may only be unreachable.
+        crashed: Whether it ended without announcing that it would leave.
+        successor: The incarnation that has its name now and may carry out
+            the orders for its runs; "" if there is none.
+        never_began: Runs that were placed on it but never ordered from it.
     """
 
     worker_id: str
@@ -159,6 +165,6 @@
 
 @codec.register("batch.forget-jobs")
 class ForgetJobs(msgspec.Struct, frozen=True):
-    """Forgets the jobs and workers that ended before a time."""
+    """Deletes the records of jobs and workers that ended before a time."""
 
     ended_before_ms: int
--- a/laburnumsill/batch/crashes.py
+++ b/laburnumsill/batch/crashes.py
@@ -1,15 +1,16 @@
-"""Which tasks crash the workers that start them.
-
-A worker that crashes lists no ends, so what ended it can only be told from
-what it ran, crash after crash. The load that this is for: one task crashes
-each worker that starts it, while workers crash by themselves now and then and
-most run tasks of many jobs.
-
-All tasks of a crashed worker are blamed, one that was alone there more than
-one that was not. A task that is blamed enough is a suspect: it is run apart
-from others, and of a step one suspect at a time, so that few workers are lost
-to it and few others are blamed beside it. A suspect that is blamed further
-is condemned, and its job fails.
+"""Detection of tasks that crash their workers.
+
+A crashed worker reports no ends of runs, so the task that crashed it has to be
+inferred from the runs that several crashed workers had in common. The case
+to handle is a task that crashes every worker that starts it, while workers
+also crash occasionally for other reasons and most of them run tasks of many
+jobs.
+
+A crash blames every task that ran on the worker, and a task that ran alone
+there is blamed more. A task with enough blame is a suspect: it is placed apart
+from other tasks, and only one suspect of a step runs at a time, which limits
+both the workers that it can crash and the tasks that are blamed with it. A
+task whose blame reaches the limit fails its job.
 """
 
 import dataclasses
@@ -18,37 +19,41 @@
 from laburnumsill.batch import model
 
 BLAME_ALONE = 2
-"""For a crash of a worker that ran nothing else."""
+"""Points for the crash of a worker that ran no other task."""
 
 BLAME_BESIDE_OTHERS = 1
+"""Points for the crash of a worker that also ran other tasks."""
 
-SUSPECT_FROM = 2
-"""Blame from which a task is run apart from others."""
+SUSPECT_BLAME = 2
+"""Points from which a task is a suspect and is placed apart from others."""
 
-CONDEMNED_FROM = 5
-"""Blame from which a task is given up: three crashes while it was alone, at
-most five in all."""
+BLAME_LIMIT = 5
+"""Points at which the job of a task fails: after three crashes if the task ran
+alone, after at most five otherwise."""
 
-MANY_CRASHES = 3
-"""After so many crashes of any kind a task is started few times more."""
+CRASHES_BEFORE_START_LIMIT = 3
+"""Number of crashes, alone or not, after which the further starts of a task
+are limited to `MAX_LATER_STARTS`."""
 
-STARTS_AFTER_MANY = 2
-"""So many times: another member of its gang may crash first each time, and
-then its own blame does not grow."""
+MAX_LATER_STARTS = 2
+"""Maximum number of those starts. The blame alone does not bound them: another
+member of the gang may crash its worker first each time."""
 
 MAX_LOSSES = 1_000
-"""Lost workers that are remembered until it is known whether they crashed."""
+"""Maximum number of lost workers that are recorded until it is known whether
+they crashed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Blame:
-    """How much a task is blamed.
+    """The blame of a task for crashes of workers.
 
     Attributes:
-        points: In all.
-        at_ms: When it was blamed last, ms since 1970.
-        crashes: How many workers have crashed while it ran there.
-        later_starts: How often it was placed after `MANY_CRASHES` of them.
+        points: Sum of the points for all crashes.
+        at_ms: Time of the last crash, ms since 1970.
+        crashes: Number of workers that crashed while they ran the task.
+        later_starts: Number of placements of the task after
+            `CRASHES_BEFORE_START_LIMIT` crashes.
     """
 
     points: int = 0
@@ -57,17 +62,17 @@
     later_starts: int = 0
 
 
-UNBLAMED = Blame()
+NO_BLAME = Blame()
 
 
 @dataclasses.dataclass(slots=True)
 class Loss:
-    """Runs that were given up on a worker which could not be reached.
+    """The runs that were lost with an unreachable worker.
 
     Attributes:
-        address: Of the worker.
-        points: The blame for each of the runs, should it have crashed.
-        runs: The runs.
+        address: Address of the worker.
+        points: Points for the task of each run if the worker has crashed.
+        runs: Lost runs whose ends the worker has not reported.
     """
 
     address: str
@@ -77,86 +82,90 @@
 
 @dataclasses.dataclass(slots=True)
 class Records:
-    """What a `CrashBook` holds, for snapshots.
+    """The state of a `CrashTracker`, for snapshots.
 
     Attributes:
-        blame: By the names of tasks.
-        losses: By the ids of workers.
+        blame: Blame by task id, written as text.
+        losses: Losses by worker id.
     """
 
     blame: dict[str, Blame] = dataclasses.field(default_factory=dict)
     losses: dict[str, Loss] = dataclasses.field(default_factory=dict)
 
 
-class CrashBook:
-    """Blames tasks for crashes.
+class CrashTracker:
+    """Attributes crashes of workers to tasks.
 
     Examples:
-        >>> book = CrashBook()
+        >>> tracker = CrashTracker()
         >>> run = model.RunId(model.TaskId("j", 0, 0, 0), 1)
         >>> for _ in range(3):
-        ...     book.crash([run], 1000)
-        >>> book.blame_of(run.task).points, book.is_condemned(run.task)
+        ...     tracker.record_crash([run], 1000)
+        >>> tracker.blame_of(run.task).points, tracker.is_over_limit(run.task)
         (6, True)
         >>> other = model.RunId(model.TaskId("k", 0, 0, 0), 1)
-        >>> book.crash([run, other], 2000)
-        >>> sorted(task.job_id for task in book.suspects)
+        >>> tracker.record_crash([run, other], 2000)
+        >>> sorted(task.job_id for task in tracker.suspects)
         ['j']
     """
 
     def __init__(self, records: Records | None = None) -> None:
-        known = records or Records()
-        self._losses = dict(known.losses)
+        initial = records or Records()
+        self._losses = dict(initial.losses)
         self._blame = {
-            model.TaskId.parse(name): blame
-            for name, blame in known.blame.items()
+            model.TaskId.parse(text): blame
+            for text, blame in initial.blame.items()
         }
         self._suspects: set[model.TaskId] = set()
-        self._find_suspects()
+        self._update_suspects()
 
     @property
     def records(self) -> Records:
-        """All of it."""
+        """The state of the tracker, for a snapshot."""
         blame = {str(task): blame for task, blame in self._blame.items()}
         return Records(blame, dict(self._losses))
 
     @property
     def suspects(self) -> abc.Set[model.TaskId]:
-        """The tasks that are to run apart from others."""
+        """The tasks that are to be placed apart from others."""
         return self._suspects
 
     def blame_of(self, task: model.TaskId) -> Blame:
-        """Returns how much a task is blamed."""
-        return self._blame.get(task, UNBLAMED)
+        """Returns the blame of a task."""
+        return self._blame.get(task, NO_BLAME)
 
-    def is_condemned(self, task: model.TaskId) -> bool:
-        """Returns whether a task is to be given up."""
-        return self.blame_of(task).points >= CONDEMNED_FROM
+    def is_over_limit(self, task: model.TaskId) -> bool:
+        """Returns whether the blame of a task has reached `BLAME_LIMIT`."""
+        return self.blame_of(task).points >= BLAME_LIMIT
 
     def may_start(self, task: model.TaskId) -> bool:
-        """Returns whether a task may be started once more."""
-        return self.blame_of(task).later_starts < STARTS_AFTER_MANY
+        """Returns whether a task has not used up its `MAX_LATER_STARTS`."""
+        return self.blame_of(task).later_starts < MAX_LATER_STARTS
 
-    def start(self, task: model.TaskId) -> None:
-        """Notes that a task is placed."""
+    def record_start(self, task: model.TaskId) -> None:
+        """Counts a placement of a task, if its starts are limited."""
         blame = self._blame.get(task)
-        if blame is not None and blame.crashes >= MANY_CRASHES:
+        if blame is not None and blame.crashes >= CRASHES_BEFORE_START_LIMIT:
             self._blame[task] = dataclasses.replace(
                 blame, later_starts=blame.later_starts + 1
             )
 
-    def crash(self, runs: abc.Collection[model.RunId], at_ms: int) -> None:
-        """Notes that a worker has crashed which ran just these."""
-        self._add(runs, _points_for(runs), at_ms)
+    def record_crash(
+        self, runs: abc.Collection[model.RunId], at_ms: int
+    ) -> None:
+        """Blames the tasks of all runs of a worker that has crashed."""
+        self._add_blame(runs, _points_for(runs), at_ms)
 
-    def lose(
+    def record_loss(
         self, worker: model.Worker, runs: abc.Collection[model.RunId]
     ) -> None:
-        """Notes that runs were given up on a worker that may have crashed.
+        """Records the loss of a worker that may have crashed.
+
+        The oldest loss is discarded if there are more than `MAX_LOSSES`.
 
         Args:
             worker: The worker.
-            runs: All that it ran.
+            runs: All its runs.
         """
         if not runs:
             return
@@ -165,26 +174,30 @@
         if len(self._losses) > MAX_LOSSES:
             del self._losses[next(iter(self._losses))]
 
-    def explain(self, worker_id: str, run: model.RunId) -> None:
-        """Notes that a worker has told how a run ended: it did not crash."""
+    def clear_run(self, worker_id: str, run: model.RunId) -> None:
+        """Removes a run from a loss, since its worker has reported its end."""
         loss = self._losses.get(worker_id)
         if loss is not None and run in loss.runs:
             loss.runs.remove(run)
             if not loss.runs:
                 del self._losses[worker_id]
 
-    def settle(
+    def resolve_loss(
         self, worker_id: str, crashed: bool, at_ms: int
     ) -> list[model.RunId]:
-        """Notes that a worker has ended; returns the runs that are blamed."""
+        """Resolves the loss of a worker that is now known to have ended.
+
+        Returns:
+            The runs whose tasks were blamed; none if it has not crashed.
+        """
         loss = self._losses.pop(worker_id, None)
         if loss is None or not crashed:
             return []
-        self._add(loss.runs, loss.points, at_ms)
+        self._add_blame(loss.runs, loss.points, at_ms)
         return loss.runs
 
     def lost_at(self, address: str, successor: str) -> list[str]:
-        """Returns the lost workers at an address that another has now."""
+        """Returns the lost workers at the present address of `successor`."""
         if not self._losses:
             return []
         return [
@@ -194,16 +207,16 @@
         ]
 
     def keep_jobs(self, jobs: abc.Container[str]) -> None:
-        """Forgets the tasks of all other jobs."""
-        for task in [one for one in self._blame if one.job_id not in jobs]:
+        """Removes the tasks and runs of all jobs that are not in `jobs`."""
+        for task in [key for key in self._blame if key.job_id not in jobs]:
             del self._blame[task]
-        self._find_suspects()
+        self._update_suspects()
         for worker_id, loss in list(self._losses.items()):
             loss.runs = [run for run in loss.runs if run.task.job_id in jobs]
             if not loss.runs:
                 del self._losses[worker_id]
 
-    def _add(
+    def _add_blame(
         self, runs: abc.Iterable[model.RunId], points: int, at_ms: int
     ) -> None:
         for run in runs:
@@ -214,13 +227,13 @@
                 before.crashes + 1,
                 before.later_starts,
             )
-        self._find_suspects()
+        self._update_suspects()
 
-    def _find_suspects(self) -> None:
+    def _update_suspects(self) -> None:
         self._suspects = {
             task
             for task, blame in self._blame.items()
-            if blame.points >= SUSPECT_FROM
+            if blame.points >= SUSPECT_BLAME
         }
 
 
--- a/laburnumsill/batch/ledger.py
+++ b/laburnumsill/batch/ledger.py
@@ -1,9 +1,10 @@
 """The replicated record of jobs, workers and runs.
 
-Everything that must survive the loss of a VM is here: which jobs were
-accepted, which runs were placed where, how runs ended. A run is placed here
-before its worker is told, and its end is noted here before the worker may
-forget it, so that whoever leads next knows of every run that there may be.
+The ledger holds everything that must survive the loss of a VM: the accepted
+jobs, the placements of runs, and how runs ended. A run is recorded here before
+its worker is ordered to start it, and its end is recorded here before the
+worker may discard it. The next leader therefore knows every run that may
+exist.
 """
 
 import dataclasses
@@ -25,7 +26,18 @@
 @codec.register("batch.snapshot")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The whole ledger."""
+    """The encoded state of a `BatchLedger`.
+
+    Attributes:
+        jobs: All job records.
+        workers: The present workers.
+        runs: The live runs.
+        noted: By worker id: number of the last recorded end.
+        sequences: By worker id: sequence number of the last announcement that
+            was applied.
+        ended_workers: By worker id: when the incarnation ended, ms since 1970.
+        crashes: Records of crashes and of lost workers.
+    """
 
     jobs: list[records.JobRecord]
     workers: list[model.Worker]
@@ -41,9 +53,11 @@
 class BatchLedger(replication.Component, ledger_view.LedgerView):
     """Jobs, workers and live runs of one site.
 
-    What always holds: a task has at most one live run; the live runs of a
-    worker fit into it; a gang is placed whole; nothing is placed of a job
-    that has ended or of a step whose predecessors are not done.
+    A run is live from its placement until its end or its release is recorded.
+
+    Invariants: a task has at most one live run; the live runs of a worker fit
+    into its capacity; a gang is placed as a whole; no run is placed of a job
+    that has ended or of a step whose dependencies are not done.
 
     Examples:
         >>> ledger = BatchLedger()
@@ -59,20 +73,20 @@
 
     def __init__(self) -> None:
         self._jobs: dict[str, records.JobRecord] = {}
-        self._book = worker_book.WorkerBook()
+        self._book = worker_book.WorkerRegistry()
         self._live = live_runs.LiveRuns()
         self._waiting: dict[model.StepKey, list[model.TaskId]] = {}
         self._active: dict[str, records.JobRecord] = {}
-        self._crashes = crash_module.CrashBook()
+        self._crashes = crash_module.CrashTracker()
 
     @property
-    def crashes(self) -> crash_module.CrashBook:
-        """Which tasks are blamed for crashes of workers."""
+    def crashes(self) -> crash_module.CrashTracker:
+        """The tasks that are blamed for crashes of workers."""
         return self._crashes
 
     @property
     def jobs(self) -> abc.Mapping[str, records.JobRecord]:
-        """All jobs that are remembered, by id."""
+        """All jobs whose records are kept, by id."""
         return self._jobs
 
     @property
@@ -82,12 +96,12 @@
 
     @property
     def workers(self) -> abc.Mapping[str, model.Worker]:
-        """The workers that are known, by id."""
+        """The present workers, by id."""
         return self._book.workers
 
     @property
     def runs(self) -> abc.Mapping[model.RunId, records.RunRecord]:
-        """The runs that may be running."""
+        """The live runs, by id."""
         return self._live.all
 
     @property
@@ -96,57 +110,63 @@
     ) -> abc.Mapping[
         model.StepKey, abc.Mapping[model.RunId, records.RunRecord]
     ]:
-        """The runs that may be running, by step."""
+        """The live runs, by step."""
         return self._live.by_step
 
     def runs_on(
         self, worker_id: str
     ) -> abc.Mapping[model.RunId, records.RunRecord]:
-        """Returns the runs that may be running on a worker."""
+        """Returns the live runs on a worker."""
         return self._live.on_worker(worker_id)
 
     def live_run(self, task: model.TaskId) -> model.RunId | None:
-        """Returns the run of a task that may be running, or None."""
+        """Returns the live run of a task, or None."""
         return self._live.of_task(task)
 
     def waiting_tasks(self, key: model.StepKey) -> abc.Sequence[model.TaskId]:
-        """Returns the tasks of a step that are neither done nor live."""
-        known = self._waiting.get(key)
-        if known is None:
-            known = self._find_waiting(key)
-            self._waiting[key] = known
-        return known
+        """Returns the tasks of a step that are not done and have no live run.
+
+        The result is cached until a run of the step is added or removed.
+        """
+        waiting = self._waiting.get(key)
+        if waiting is None:
+            waiting = self._find_waiting(key)
+            self._waiting[key] = waiting
+        return waiting
 
     def workers_named(self, name: str) -> abc.Iterator[model.Worker]:
-        """Yields the known incarnations that calls to a name may reach."""
+        """Yields the present incarnations that calls to a name may reach."""
         return self._book.named(name)
 
     def noted(self, worker_id: str) -> int:
-        """Returns the place up to which a worker's ends are noted."""
+        """Returns the number of a worker's last recorded end, 0 for none."""
         return self._book.noted.get(worker_id, 0)
 
     def sequence(self, worker_id: str) -> int:
-        """Returns which announcement of a worker the ledger goes by."""
+        """Returns the sequence number of the last announcement applied."""
         return self._book.sequences.get(worker_id, 0)
 
     def has_ended(self, worker_id: str) -> bool:
-        """Returns whether a worker's incarnation has certainly ended."""
+        """Returns whether a worker's incarnation is known to have ended."""
         return worker_id in self._book.ended
 
     def needs_of(self, run: model.RunId) -> model.Resources:
-        """Returns what a run of a remembered job occupies."""
+        """Returns the resources of a run, whose job must be in the ledger."""
         return self._jobs[run.task.job_id].job.steps[run.task.step].needs
 
     def slots_in(self, pool: str, needs: model.Resources) -> int:
-        """Returns how many times an amount fits into a pool's workers."""
+        """Returns how many copies of an amount fit into a pool's workers.
+
+        Live runs are not subtracted.
+        """
         return self._book.slots_in(pool, needs)
 
     def free_on(self, worker_id: str) -> model.Resources:
-        """Returns what no live run occupies on a worker."""
+        """Returns the free capacity of a worker."""
         return self.workers[worker_id].capacity - self._live.used_on(worker_id)
 
     def submit(self, command: caller_commands.SubmitJob) -> None:
-        """Accepts a job unless it is known already."""
+        """Accepts a job unless there is one with its id."""
         job_id = command.job.job_id
         if job_id in self._jobs:
             return
@@ -157,18 +177,18 @@
     def cancel(
         self, command: caller_commands.CancelJob
     ) -> caller_commands.JobAnswer:
-        """Cancels a job; the answer is empty if there is none."""
+        """Cancels a job; the answer is empty if the job does not exist."""
         record = self._jobs.get(command.job_id)
         if record is None:
             return caller_commands.JobAnswer()
         if record.active:
-            self._finish(
+            self._finish_job(
                 record, caller_commands.JobState.CANCELLED, command.at_ms
             )
         return caller_commands.JobAnswer(str(record.state))
 
     def place(self, command: commands.PlaceRuns) -> commands.Placed:
-        """Places the groups that may be placed."""
+        """Places each group of runs, or returns why it was refused."""
         return commands.Placed(
             tuple(
                 self._place_group(group, command.at_ms)
@@ -177,60 +197,66 @@
         )
 
     def note_ends(self, command: commands.NoteEnds) -> None:
-        """Takes note of ends that were not noted before."""
-        noted = self.noted(command.worker_id)
+        """Records the ends that were not recorded before."""
+        last = self.noted(command.worker_id)
         for end in command.ends:
-            if end.number > noted:
-                noted = end.number
-                self._crashes.explain(command.worker_id, end.run)
-                self._end(end, command.at_ms)
-        self._book.note_ends(command.worker_id, noted)
+            if end.number > last:
+                last = end.number
+                self._crashes.clear_run(command.worker_id, end.run)
+                self._record_end(end, command.at_ms)
+        self._book.record_ends(command.worker_id, last)
 
     def release(self, command: commands.ReleaseRuns) -> None:
-        """Frees what lost runs held."""
-        lost = [one.worker_id for one in command.releases if one.is_lost]
+        """Removes live runs that are lost or were never started."""
+        lost = [
+            release.worker_id for release in command.releases if release.is_lost
+        ]
         for worker_id in dict.fromkeys(lost):
-            self._lose_runs(worker_id)
-        for one in command.releases:
-            record = self.runs.get(one.run)
-            if record is None or record.worker_id != one.worker_id:
+            self._record_loss(worker_id)
+        for release in command.releases:
+            record = self.runs.get(release.run)
+            if record is None or record.worker_id != release.worker_id:
                 continue
-            self._remove_run(one.run)
-            self._save(one.run, one.saved)
+            self._remove_run(release.run)
+            self._save_progress(release.run, release.saved)
 
     def note_running(self, command: commands.NoteRunning) -> None:
-        """Takes note of runs that were seen and of their progress."""
+        """Records that runs were seen running, and their saved progress."""
         for seen in command.seen:
             record = self.runs.get(seen.run)
             if record is not None:
                 record.seen = True
-                self._begin(seen.run.task.job_id)
-                self._save(seen.run, seen.saved)
+                self._mark_begun(seen.run.task.job_id)
+                self._save_progress(seen.run, seen.saved)
 
     def put_worker(self, command: commands.PutWorker) -> None:
-        """Makes a worker known, see `worker_book.WorkerBook.put`."""
+        """Adds or updates a worker.
+
+        Lost workers at the same address have crashed, unless they are still
+        present: the tasks that ran on them are blamed.
+        """
         if not self._book.put(command.worker, command.sequence):
             return
         worker_id = command.worker.worker_id
         address = command.worker.address
         for lost_id in self._crashes.lost_at(address, worker_id):
             if lost_id not in self.workers:
-                runs = self._crashes.settle(lost_id, True, command.at_ms)
-                self._fail_condemned(runs, command.at_ms)
+                runs = self._crashes.resolve_loss(lost_id, True, command.at_ms)
+                self._fail_blamed_jobs(runs, command.at_ms)
 
     def remove_worker(self, command: commands.RemoveWorker) -> None:
-        """Forgets a worker; its runs are lost."""
+        """Removes a worker; its runs are lost or pass to its successor."""
         for seen in command.saved:
             if seen.run in self.runs:
-                self._save(seen.run, seen.saved)
+                self._save_progress(seen.run, seen.saved)
         runs = list(self.runs_on(command.worker_id))
-        self._note_loss(command, runs)
+        self._attribute_loss(command, runs)
         for run in runs:
-            self._lose_run(run, command.successor)
+            self._drop_or_reassign(run, command.successor)
         self._book.remove(command.worker_id, command.ended_ms)
 
-    def _lose_run(self, run: model.RunId, successor: str) -> None:
-        """Ends a run with its worker, or leaves it to the next incarnation."""
+    def _drop_or_reassign(self, run: model.RunId, successor: str) -> None:
+        """Removes a live run, or assigns it to the successor as a stray."""
         record = self._live.remove(run)
         self._waiting.pop(run.task.step_key, None)
         if record is not None and successor in self.workers:
@@ -238,16 +264,20 @@
             record.is_stray = True
             self._add_run(record)
 
-    def _note_loss(
+    def _attribute_loss(
         self, command: commands.RemoveWorker, runs: list[model.RunId]
     ) -> None:
-        """Blames tasks for the end of a worker, now or once it is known."""
+        """Blames the tasks of a removed worker if it has crashed.
+
+        If it is not known whether the worker has ended, its runs are recorded
+        as lost, and their tasks are blamed once a crash is known.
+        """
         if not command.ended_ms:
-            self._lose_runs(command.worker_id)
+            self._record_loss(command.worker_id)
             return
         at_ms = command.ended_ms
         crashed = command.crashed
-        earlier = self._crashes.settle(command.worker_id, crashed, at_ms)
+        earlier = self._crashes.resolve_loss(command.worker_id, crashed, at_ms)
         if crashed:
             begun = [
                 run
@@ -255,28 +285,31 @@
                 if run not in command.never_began
                 and not self.runs[run].is_stray
             ]
-            self._crashes.crash(begun, at_ms)
-            self._fail_condemned([*earlier, *begun], at_ms)
+            self._crashes.record_crash(begun, at_ms)
+            self._fail_blamed_jobs([*earlier, *begun], at_ms)
 
-    def _lose_runs(self, worker_id: str) -> None:
-        """Notes that what a worker runs is given up, and it may be up."""
+    def _record_loss(self, worker_id: str) -> None:
+        """Records the runs of a worker as lost while it may have crashed."""
         worker = self.workers.get(worker_id)
         if worker is not None and not worker.draining:
             runs = self.runs_on(worker_id).values()
-            ordered = [one.run for one in runs if not one.is_stray]
-            self._crashes.lose(worker, ordered)
+            ordered = [record.run for record in runs if not record.is_stray]
+            self._crashes.record_loss(worker, ordered)
 
-    def _fail_condemned(
+    def _fail_blamed_jobs(
         self, runs: abc.Iterable[model.RunId], at_ms: int
     ) -> None:
-        """Fails the jobs whose tasks have crashed too many workers."""
+        """Fails the jobs of runs whose tasks have reached the blame limit."""
         for run in runs:
             record = self._active.get(run.task.job_id)
-            if record is not None and self._crashes.is_condemned(run.task):
-                self._finish(record, caller_commands.JobState.FAILED, at_ms)
+            if record is not None and self._crashes.is_over_limit(run.task):
+                self._finish_job(record, caller_commands.JobState.FAILED, at_ms)
 
     def forget(self, command: commands.ForgetJobs) -> None:
-        """Forgets what ended long ago; jobs only if they have no live run."""
+        """Deletes jobs and workers that ended before a time.
+
+        A job with a live run is kept.
+        """
         self._book.forget(command.ended_before_ms)
         busy = {job_id for job_id, _, _ in self.runs_of_steps}
         for job_id, record in list(self._jobs.items()):
@@ -286,7 +319,10 @@
         self._crashes.keep_jobs(self._active)
 
     def may_forget(self, before_ms: int) -> bool:
-        """Returns whether `forget` would find something."""
+        """Returns whether a job or a worker ended before `before_ms`.
+
+        If none did, `ForgetJobs` with that time would delete nothing.
+        """
         jobs = (record.ended_ms for record in self._jobs.values())
         ends = (*jobs, *self._book.ended.values())
         return any(0 < ended_ms < before_ms for ended_ms in ends)
@@ -294,14 +330,14 @@
     def job_state(
         self, query: caller_commands.JobQuery
     ) -> caller_commands.JobAnswer:
-        """Returns the state of a job."""
+        """Returns the state of a job; empty if the job does not exist."""
         record = self._jobs.get(query.job_id)
         return caller_commands.JobAnswer(str(record.state) if record else "")
 
     def pending(
         self, query: caller_commands.PendingQuery
     ) -> caller_commands.PendingAnswer:
-        """Returns how many jobs of a queue have not begun."""
+        """Returns the number of active jobs of a queue that have not begun."""
         return caller_commands.PendingAnswer(
             sum(
                 not record.begun and record.job.queue == query.queue
@@ -310,7 +346,7 @@
         )
 
     def dump(self) -> bytes:
-        """Returns the whole ledger, encoded."""
+        """Returns a snapshot of the ledger, encoded."""
         return codec.encode(
             Snapshot(
                 list(self._jobs.values()),
@@ -324,7 +360,7 @@
         )
 
     def load(self, raw: bytes) -> None:
-        """Replaces the ledger by one that `dump` returned."""
+        """Replaces the state of the ledger by a snapshot from `dump`."""
         snapshot: Snapshot = codec.decode(raw)
         self.__init__()  # type: ignore[misc]
         for job in snapshot.jobs:
@@ -338,10 +374,14 @@
         self._book.noted = dict(snapshot.noted)
         self._book.sequences = dict(snapshot.sequences)
         self._book.ended = dict(snapshot.ended_workers)
-        self._crashes = crash_module.CrashBook(snapshot.crashes)
+        self._crashes = crash_module.CrashTracker(snapshot.crashes)
 
     def _place_group(self, group: commands.Group, at_ms: int) -> str:
-        """Places a group whole; returns why not, "" if it was placed."""
+        """Places a group of runs as a whole.
+
+        Returns:
+            Why the group was refused, "" if it was placed.
+        """
         refusal = checks.placement_refusal(self, group)
         if refusal:
             return refusal
@@ -349,44 +389,44 @@
             task = placement.run.task
             if not self._crashes.may_start(task):
                 record = self._jobs[task.job_id]
-                self._finish(record, caller_commands.JobState.FAILED, at_ms)
+                self._finish_job(record, caller_commands.JobState.FAILED, at_ms)
                 return f"{task} has crashed too many workers"
         for placement in group:
             task = placement.run.task
-            self._crashes.start(task)
+            self._crashes.record_start(task)
             record = self._jobs[task.job_id]
-            known = record.task(task)
-            if known is not None:
-                known.last_run = placement.run.number
+            task_record = record.task(task)
+            if task_record is not None:
+                task_record.last_run = placement.run.number
             record.state = caller_commands.JobState.RUNNING
             self._add_run(
                 records.RunRecord(placement.run, placement.worker_id, at_ms)
             )
         return ""
 
-    def _end(self, end: commands.EndedRun, at_ms: int) -> None:
-        """Takes note of one end.
+    def _record_end(self, end: commands.EndedRun, at_ms: int) -> None:
+        """Records the end of a run.
 
-        A run that is not live any more may still turn out to have been done
-        or to have failed: the worker listed that before its lease ended, and
-        nobody could read it then. Both count.
+        Success and failure also count for a run that is not live: its worker
+        may have recorded the end before the lease expired, while the worker
+        was unreachable.
         """
         self._remove_run(end.run)
         record = self._jobs.get(end.run.task.job_id)
         task = record.task(end.run.task) if record else None
         if record is None or task is None:
             return
-        self._begin(end.run.task.job_id)
-        self._save(end.run, end.saved)
+        self._mark_begun(end.run.task.job_id)
+        self._save_progress(end.run, end.saved)
         if end.kind is commands.EndKind.DONE:
-            self._note_done(record, end.run, at_ms)
+            self._record_success(record, end.run, at_ms)
         elif end.kind is commands.EndKind.FAILED:
-            self._note_failure(record, end.run, at_ms)
+            self._record_failure(record, end.run, at_ms)
 
-    def _note_done(
+    def _record_success(
         self, record: records.JobRecord, run: model.RunId, at_ms: int
     ) -> None:
-        """One member's end stands for its whole gang."""
+        """Marks the task of a run as done, or all tasks of its gang."""
         step = record.step(run.task)
         if step is None:
             return
@@ -394,35 +434,40 @@
         if record.job.steps[run.task.step].gang:
             done = list(records.siblings(record.job, run.task))
         for task in done:
-            known = step.tasks[task.index]
-            if not known.done_run:
-                known.done_run = run.number
+            task_record = step.tasks[task.index]
+            if not task_record.done_run:
+                task_record.done_run = run.number
                 step.undone -= 1
         self._waiting.pop(run.task.step_key, None)
         if record.active and record.done:
-            self._finish(record, caller_commands.JobState.COMPLETED, at_ms)
+            self._finish_job(record, caller_commands.JobState.COMPLETED, at_ms)
 
-    def _note_failure(
+    def _record_failure(
         self, record: records.JobRecord, run: model.RunId, at_ms: int
     ) -> None:
+        """Counts the failure of a run, once for each run of a gang.
+
+        Fails the job if the attempts are used up, unless the step is
+        long-running.
+        """
         step = record.step(run.task)
         if step is None:
             return
         spec = record.job.steps[run.task.step]
         if spec.gang:
             if run.number in step.failed_runs:
-                return  # another member has brought it down already
+                return  # the failure of another member was counted already
             step.failed_runs.append(run.number)
             for task in step.tasks:
                 task.failures += 1
         else:
             step.tasks[run.task.index].failures += 1
-        spent = records.attempts(record, run.task)
-        hopeless = spent >= record.job.terms.max_attempts
-        if hopeless and not spec.long_running and record.active:
-            self._finish(record, caller_commands.JobState.FAILED, at_ms)
+        failed = records.failed_attempts(record, run.task)
+        used_up = failed >= record.job.terms.max_attempts
+        if used_up and not spec.long_running and record.active:
+            self._finish_job(record, caller_commands.JobState.FAILED, at_ms)
 
-    def _finish(
+    def _finish_job(
         self,
         record: records.JobRecord,
         state: caller_commands.JobState,
@@ -434,13 +479,17 @@
         for key in records.step_keys(record.job):
             self._waiting.pop(key, None)
 
-    def _begin(self, job_id: str) -> None:
+    def _mark_begun(self, job_id: str) -> None:
         record = self._jobs.get(job_id)
         if record is not None:
             record.begun = True
 
-    def _save(self, run: model.RunId, saved: str) -> None:
-        """Keeps progress; that of a gang's member is that of the gang."""
+    def _save_progress(self, run: model.RunId, saved: str) -> None:
+        """Stores saved progress of a task, or of all members of its gang.
+
+        Progress of an earlier run than the newest is ignored, except for a
+        gang.
+        """
         record = self._jobs.get(run.task.job_id)
         step = record.step(run.task) if record else None
         if not saved or record is None or step is None:
@@ -462,15 +511,15 @@
     def _find_waiting(self, key: model.StepKey) -> list[model.TaskId]:
         job_id, occurrence, number = key
         tasks = self._jobs[job_id].steps[occurrence][number].tasks
-        names = (
+        undone = (
             model.TaskId(job_id, occurrence, number, index)
             for index, task in enumerate(tasks)
             if not task.done_run
         )
-        return [name for name in names if self.live_run(name) is None]
+        return [task_id for task_id in undone if self.live_run(task_id) is None]
 
     def commands(self) -> dict[type, replication.Handler]:
-        """Returns the handlers of commands."""
+        """Returns the handler of each type of command."""
         return {
             caller_commands.SubmitJob: self.submit,
             caller_commands.CancelJob: self.cancel,
@@ -484,7 +533,7 @@
         }
 
     def queries(self) -> dict[type, replication.Handler]:
-        """Returns the handlers of queries."""
+        """Returns the handler of each type of query."""
         return {
             caller_commands.JobQuery: self.job_state,
             caller_commands.PendingQuery: self.pending,
--- a/laburnumsill/batch/model.py
+++ b/laburnumsill/batch/model.py
@@ -1,4 +1,4 @@
-"""What a job is: resources, steps, and the names of tasks and runs."""
+"""Jobs, their steps and resources, and the ids of tasks and runs."""
 
 import msgspec
 
@@ -7,12 +7,14 @@
 
 @codec.register("batch.resources")
 class Resources(msgspec.Struct, frozen=True, gc=False):
-    """An amount of what a worker has and a task needs.
+    """An amount of CPU, memory and accelerators.
+
+    Used for the capacity of a worker and for the needs of a task.
 
     Attributes:
         cpu_millis: Thousandths of a core.
         memory_mb: Memory in MB.
-        accelerators: Whole accelerators.
+        accelerators: Number of whole accelerators.
     """
 
     cpu_millis: int = 0
@@ -33,21 +35,21 @@
             self.accelerators - other.accelerators,
         )
 
-    def fits_in(self, room: "Resources") -> bool:
-        """Returns whether this amount is within `room`.
+    def fits_in(self, available: "Resources") -> bool:
+        """Returns whether no resource of this amount exceeds `available`.
 
         Examples:
             >>> Resources(1000, 64, 1).fits_in(Resources(1000, 64, 0))
             False
         """
         return (
-            self.cpu_millis <= room.cpu_millis
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cpu_millis <= available.cpu_millis
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
     def least(self, other: "Resources") -> "Resources":
-        """Returns what both amounts have of each kind.
+        """Returns the minimum of both amounts for each resource.
 
         Examples:
             >>> Resources(1000, 64, 2).least(Resources(500, 80, 2))
@@ -59,8 +61,11 @@
             min(self.accelerators, other.accelerators),
         )
 
-    def times_in(self, room: "Resources") -> int:
-        """Returns how many such amounts fit into `room` together.
+    def times_in(self, available: "Resources") -> int:
+        """Returns how many copies of this amount fit into `available`.
+
+        The result is 0 if a resource of `available` is negative, and
+        `UNBOUNDED` if this amount is zero.
 
         Examples:
             >>> Resources(1000, 64, 2).times_in(Resources(9000, 640, 8))
@@ -68,50 +73,59 @@
             >>> Resources(1000, 64, 0).times_in(Resources(9000, 640, -1))
             0
         """
-        # Without calls: the planner asks this for each worker and unit.
-        if room.cpu_millis < 0 or room.memory_mb < 0 or room.accelerators < 0:
+        # Makes no function calls, for speed: the planner evaluates this for
+        # each pair of a worker and a unit.
+        if (
+            available.cpu_millis < 0
+            or available.memory_mb < 0
+            or available.accelerators < 0
+        ):
             return 0
-        times = UNBOUNDED
+        copies = UNBOUNDED
         if self.cpu_millis > 0:
-            times = room.cpu_millis // self.cpu_millis
+            copies = available.cpu_millis // self.cpu_millis
         if self.memory_mb > 0:
-            fitting = room.memory_mb // self.memory_mb
-            if fitting < times:
-                times = fitting
+            fitting = available.memory_mb // self.memory_mb
+            if fitting < copies:
+                copies = fitting
         if self.accelerators > 0:
-            fitting = room.accelerators // self.accelerators
-            if fitting < times:
-                times = fitting
-        return times
+            fitting = available.accelerators // self.accelerators
+            if fitting < copies:
+                copies = fitting
+        return copies
 
 
 UNBOUNDED = 1_000_000
-"""How often a task that needs nothing fits into anything."""
+"""Result of `Resources.times_in` for a task that needs no resources."""
 
 CORES_PER_ACCELERATOR = 8
-"""What an accelerator counts for where work is weighed in cores; the users'
-price list counts it so."""
+"""Number of cores that one accelerator counts for, as in the users' price
+list, where amounts of resources are compared by a single number."""
 
 
 @codec.register("batch.step")
 class Step(msgspec.Struct, frozen=True):
-    """Tasks of one kind within a job.
+    """A step of a job: a number of identical tasks.
 
     Attributes:
-        tasks: How many tasks there are.
-        needs: What each of them needs.
-        estimated_ms: The submitter's guess of a task's run time, in ms; it
-            may be far off.
-        depends_on: Numbers of the earlier steps that must be done before.
-        gang: Whether the tasks only work all together.
-        same_rack: Whether they are much slower on more than one rack.
-        data_rack: The rack that holds their data, "" for none; elsewhere
-            they are much slower.
-        required_label: The label that their workers must have, or "".
-        max_per_worker: At most so many of an occurrence's tasks run on one
-            worker, 0 for any number.
-        speculative: Whether a second copy of a task may run.
-        saves_progress: Whether a later run can go on from saved progress.
+        tasks: Number of tasks.
+        needs: Resources that each task needs.
+        estimated_ms: Run time of a task as the submitter estimates it, in ms;
+            it may be far off.
+        depends_on: Numbers of the earlier steps that must be done before this
+            step starts.
+        gang: Whether the tasks must all run at the same time.
+        same_rack: Whether the tasks are much slower if they are spread over
+            more than one rack.
+        data_rack: The rack that holds the tasks' data, or ""; the tasks are
+            much slower on other racks.
+        required_label: The label that a worker must have to run the tasks,
+            or "".
+        max_per_worker: Maximum number of tasks of one occurrence on one
+            worker; 0 for no limit.
+        speculative: Whether the submitter allows a second copy of a task to
+            run beside the first.
+        saves_progress: Whether a later run can resume from saved progress.
         long_running: Whether the tasks run until the job is cancelled.
     """
 
@@ -130,25 +144,26 @@
 
     @property
     def tells_speed(self) -> bool:
-        """Whether what one of its tasks takes tells of the worker.
+        """Whether the run time of a task measures the speed of its worker.
 
-        That of a gang is its slowest member's; one far from its data takes
-        longer anywhere.
+        It does not for a gang, which runs as long as its slowest member, nor
+        for a task with a data rack, which is slower on other racks.
         """
         return not self.gang and not self.data_rack
 
 
 @codec.register("batch.queue-terms")
 class QueueTerms(msgspec.Struct, frozen=True):
-    """What a job's queue promised when the job was accepted.
+    """Settings of a job's queue, as of the acceptance of the job.
 
     Attributes:
         pool: The service whose workers run the tasks.
-        priority: 0 goes first and may stop others.
-        max_attempts: A task that failed so often fails its job.
-        stretch: The objective is this multiple of the longest chain of work,
-            plus `target_ms`.
-        target_ms: In ms.
+        priority: Lower numbers are placed first; jobs of priority 0 may
+            preempt others.
+        max_attempts: Number of failures of a task at which its job fails.
+        stretch: Factor of the completion objective, which is `stretch` times
+            the run time of the longest chain of steps, plus `target_ms`.
+        target_ms: Constant part of the completion objective, in ms.
     """
 
     pool: str
@@ -166,12 +181,12 @@
         job_id: Chosen by the submitter, unique in the site.
         queue: The name of its queue.
         account: The client account, "" where the queue needs none.
-        payload: Passed on to the workers unread.
-        steps: In their order.
-        terms: Of its queue.
-        repeat_count: How many occurrences there are; 0 for one that is due
+        payload: Opaque text, passed on to the workers.
+        steps: The steps, in order; `Step.depends_on` refers to their indices.
+        terms: Settings of its queue when it was accepted.
+        repeat_count: Number of occurrences; 0 for a single one that is due
             at once.
-        first_due_ms: When occurrence 0 is due, ms since 1970.
+        first_due_ms: Due time of occurrence 0, ms since 1970.
         interval_ms: Time from one occurrence to the next.
     """
 
@@ -187,25 +202,25 @@
 
     @property
     def occurrences(self) -> int:
-        """How many times the steps run."""
+        """Number of occurrences: how many times the steps run."""
         return max(1, self.repeat_count)
 
     def due_ms(self, occurrence: int) -> int:
-        """Returns when an occurrence is due, ms since 1970; 0 for at once."""
+        """Returns the due time of an occurrence, ms since 1970; 0 for now."""
         if not self.repeat_count:
             return 0
         return self.first_due_ms + occurrence * self.interval_ms
 
 
 StepKey = tuple[str, int, int]
-"""Job, occurrence and step: names one step of one occurrence among all."""
+"""Id of one step of one occurrence: job id, occurrence and step number."""
 
 
 @codec.register("batch.task-id")
 class TaskId(
     msgspec.Struct, frozen=True, order=True, cache_hash=True, gc=False
 ):
-    """The name of one task.
+    """The id of a task, unique in the site.
 
     Examples:
         >>> str(TaskId("5c0e", 0, 1, 17))
@@ -221,7 +236,7 @@
 
     @property
     def step_key(self) -> StepKey:
-        """Names the task's step among all."""
+        """Key of the task's step."""
         return (self.job_id, self.occurrence, self.step)
 
     def __str__(self) -> str:
@@ -229,10 +244,10 @@
 
     @staticmethod
     def parse(text: str) -> "TaskId":
-        """Returns the task that `str` wrote as `text`.
+        """Returns the id whose `str` is `text`.
 
         Raises:
-            ValueError: `text` is no such name.
+            ValueError: `text` is not the id of a task.
         """
         job_id, occurrence, step, index = text.rsplit(".", 3)
         return TaskId(job_id, int(occurrence), int(step), int(index))
@@ -240,7 +255,7 @@
 
 @codec.register("batch.run-id")
 class RunId(msgspec.Struct, frozen=True, order=True, cache_hash=True, gc=False):
-    """One run of a task; runs are numbered from 1."""
+    """The id of one run of a task; runs are numbered from 1."""
 
     task: TaskId
     number: int
@@ -254,16 +269,16 @@
     """One incarnation of a worker.
 
     Attributes:
-        worker_id: New for each incarnation.
+        worker_id: Id of the incarnation; a restarted worker has a new one.
         pool: The service that it works for.
         address: ``host:port`` of its interface.
         domain: Its failure domain.
-        capacity: What it has in all.
-        labels: Its kind and its rack among them.
-        rack: The rack it stands in, "" if unknown.
-        draining: Whether it is about to leave.
-        name: What calls to it are addressed to, if its next incarnation may
-            have the same; "" if that is its id.
+        capacity: Its total resources.
+        labels: Its labels, among them its kind and its rack.
+        rack: Its rack, "" if unknown.
+        draining: Whether it is draining and accepts no new runs.
+        name: The name that calls to it are addressed to, which its next
+            incarnation may share; "" if calls are addressed to `worker_id`.
     """
 
     worker_id: str
@@ -278,16 +293,19 @@
 
     @property
     def call_name(self) -> str:
-        """What calls to it are addressed to.
+        """Name that calls to the worker are addressed to.
 
-        Another incarnation of this name carries out orders that were meant
-        for this one.
+        A later incarnation with the same name carries out orders that were
+        sent to this one.
         """
         return self.name or self.worker_id
 
 
 def weight(needs: Resources) -> float:
-    """Returns the cores that an amount counts for.
+    """Returns an amount of resources as a number of cores.
+
+    An accelerator counts for `CORES_PER_ACCELERATOR` cores, and memory does
+    not count.
 
     Examples:
         >>> weight(Resources(4000, 0, 1))
--- a/laburnumsill/batch/records.py
+++ b/laburnumsill/batch/records.py
@@ -1,4 +1,4 @@
-"""What the ledger keeps of jobs, tasks and runs."""
+"""Records of jobs, steps, tasks and runs in the ledger."""
 
 import dataclasses
 from collections import abc
@@ -9,13 +9,14 @@
 
 @dataclasses.dataclass(slots=True)
 class TaskRecord:
-    """What is known of one task.
+    """The state of one task.
 
     Attributes:
         last_run: Number of its newest run, 0 before the first.
-        failures: How many of its runs have failed by themselves.
-        done_run: Number of the run that was done, 0 while none was.
-        saved: The newest progress, from which a run can go on, or "".
+        failures: Number of its runs that failed; runs that were stopped or
+            lost do not count. A run of a gang counts for all its members.
+        done_run: Number of the run that completed the task, 0 before.
+        saved: Newest saved progress, from which a run can resume, or "".
     """
 
     last_run: int = 0
@@ -26,12 +27,12 @@
 
 @dataclasses.dataclass(slots=True)
 class StepRecord:
-    """The tasks of one step of one occurrence.
+    """The state of one step of one occurrence.
 
     Attributes:
-        tasks: By index.
-        failed_runs: Of a gang: numbers of the runs that have failed.
-        undone: How many of its tasks are not done.
+        tasks: Its tasks, by index.
+        failed_runs: For a gang: numbers of the runs that have failed.
+        undone: Number of its tasks that are not done.
     """
 
     tasks: list[TaskRecord]
@@ -41,14 +42,14 @@
 
 @dataclasses.dataclass(slots=True)
 class JobRecord:
-    """What is known of one job.
+    """The state of one job.
 
     Attributes:
-        job: As it was submitted.
-        submitted_ms: When it was accepted, ms since 1970.
-        state: What is shown of it.
-        ended_ms: When it ended, 0 before.
-        begun: Whether one of its tasks was ever seen running or ended.
+        job: The job as it was submitted.
+        submitted_ms: Time of its acceptance, ms since 1970.
+        state: Its state as callers see it.
+        ended_ms: Time of its end, ms since 1970; 0 before.
+        begun: Whether a worker has listed a run of it as running or ended.
         steps: The steps of each occurrence.
     """
 
@@ -61,12 +62,12 @@
 
     @property
     def active(self) -> bool:
-        """Whether tasks of it may still be started."""
+        """Whether the job has not ended, so that tasks may be started."""
         return self.state in ACTIVE_STATES
 
     @property
     def done(self) -> bool:
-        """Whether all its tasks are done."""
+        """Whether all tasks of the job are done."""
         return all(
             not step.undone for occurrence in self.steps for step in occurrence
         )
@@ -79,21 +80,21 @@
         return step.tasks[task.index]
 
     def step(self, task: model.TaskId) -> StepRecord | None:
-        """Returns the record of a task's step, or None."""
+        """Returns the record of a task's step, or None if there is none."""
         if not 0 <= task.occurrence < len(self.steps):
             return None
         occurrence = self.steps[task.occurrence]
-        known = 0 <= task.step < len(occurrence)
-        return occurrence[task.step] if known else None
+        exists = 0 <= task.step < len(occurrence)
+        return occurrence[task.step] if exists else None
 
     def has_done_tasks(self, key: model.StepKey) -> bool:
-        """Returns whether any task of a step of this job is done."""
+        """Returns whether any task of the given step is done."""
         _, occurrence, number = key
         step = self.steps[occurrence][number]
         return step.undone < len(step.tasks)
 
     def ready(self, occurrence: int, step: int) -> bool:
-        """Returns whether all that a step depends on is done."""
+        """Returns whether all steps that a step depends on are done."""
         records = self.steps[occurrence]
         return all(
             not records[number].undone
@@ -108,15 +109,16 @@
 
 @dataclasses.dataclass(slots=True)
 class RunRecord:
-    """A run that was placed and may be running.
+    """A live run: one that was placed and may be running.
 
     Attributes:
-        run: Which run.
-        worker_id: Where.
-        placed_ms: When it was placed, ms since 1970.
+        run: Id of the run.
+        worker_id: The worker on which it was placed.
+        placed_ms: Time of its placement, ms since 1970.
         seen: Whether its worker has listed it as running.
-        is_stray: Whether it was ordered of an earlier incarnation. Its orders
-            may still be carried out, so it is stopped before it is over.
+        is_stray: Whether it was ordered from an earlier incarnation of its
+            worker. The present incarnation may still carry out that order,
+            so the run is stopped before it counts as ended.
     """
 
     run: model.RunId
@@ -127,37 +129,37 @@
 
 
 def new_job(job: model.Job, at_ms: int) -> JobRecord:
-    """Returns the record of a job that was just accepted."""
+    """Returns the initial record of a job that is accepted at `at_ms`."""
     return JobRecord(
-        job, at_ms, steps=[_occurrence(job) for _ in range(job.occurrences)]
+        job, at_ms, steps=[_new_steps(job) for _ in range(job.occurrences)]
     )
 
 
-def _occurrence(job: model.Job) -> list[StepRecord]:
+def _new_steps(job: model.Job) -> list[StepRecord]:
     return [
         StepRecord([TaskRecord() for _ in range(step.tasks)], undone=step.tasks)
         for step in job.steps
     ]
 
 
-def attempts(record: JobRecord, task: model.TaskId) -> int:
+def failed_attempts(record: JobRecord, task: model.TaskId) -> int:
     """Returns how many runs of a task, or of its gang, have failed."""
     step = record.step(task)
     if step is None:
         return 0
     if record.job.steps[task.step].gang:
-        return max(one.failures for one in step.tasks)
+        return max(member.failures for member in step.tasks)
     return step.tasks[task.index].failures
 
 
 def siblings(job: model.Job, task: model.TaskId) -> abc.Iterator[model.TaskId]:
-    """Yields the names of all tasks of a task's step, itself too."""
+    """Yields the ids of all tasks of a task's step, including the task."""
     for index in range(job.steps[task.step].tasks):
         yield model.TaskId(task.job_id, task.occurrence, task.step, index)
 
 
 def step_keys(job: model.Job) -> abc.Iterator[model.StepKey]:
-    """Yields the names of all steps of all occurrences of a job."""
+    """Yields the keys of all steps of all occurrences of a job."""
     for occurrence in range(job.occurrences):
         for number in range(len(job.steps)):
             yield (job.job_id, occurrence, number)
--- a/laburnumsill/batch/tests/test_crashes.py
+++ b/laburnumsill/batch/tests/test_crashes.py
@@ -99,7 +99,7 @@
     ledger = addressed_site()
     place(ledger, "w00", run_of("j"))
     ledger.remove_worker(commands.RemoveWorker("w00", "it left", (), GONE_MS))
-    assert ledger.crashes.blame_of(run_of("j").task) == crashes.UNBLAMED
+    assert ledger.crashes.blame_of(run_of("j").task) == crashes.NO_BLAME
 
 
 def test_a_run_that_was_never_ordered_is_not_blamed():
@@ -112,7 +112,7 @@
     )
     blames = [ledger.crashes.blame_of(run_of(one).task) for one in "jk"]
     alone = crashes.Blame(crashes.BLAME_ALONE, GONE_MS, 1)
-    assert blames == [alone, crashes.UNBLAMED]
+    assert blames == [alone, crashes.NO_BLAME]
 
 
 @pytest.mark.parametrize("restarts", [False, True])
@@ -152,7 +152,7 @@
     lapsed = commands.EndedRun(1, run_of("j"), commands.EndKind.LEASE_ENDED)
     ledger.note_ends(commands.NoteEnds("w00", (lapsed,), 0))
     crash(ledger, "w00")
-    assert ledger.crashes.blame_of(run_of("j").task) == crashes.UNBLAMED
+    assert ledger.crashes.blame_of(run_of("j").task) == crashes.NO_BLAME
 
 
 def test_a_snapshot_from_before_crashes_were_counted_is_read():
@@ -181,7 +181,7 @@
         ledger, planned_site.job(job_id, count, 1, priority=1, **step)
     )
     for index in tasks:
-        ledger.crashes.crash([run_of(job_id, index=index)], 0)
+        ledger.crashes.record_crash([run_of(job_id, index=index)], 0)
     return ledger
 
 
@@ -229,7 +229,7 @@
         planned_site.occupy(ledger, other, name, 1)
     suspect = planned_site.job("k", 1, 1, priority=1, gang=gang)
     planned_site.submit(ledger, suspect)
-    ledger.crashes.crash([run_of("k")], 0)
+    ledger.crashes.record_crash([run_of("k")], 0)
     made = plan(ledger, now_ms=planner.APART_FOR_MS)
     assert planned_site.taken(made) == {other}
 
@@ -245,6 +245,6 @@
     ledger = planned_site.site(1, 1)
     planned_site.occupy(ledger, "w00", "o", 8, priority=1)
     planned_site.submit(ledger, planned_site.job("j", 1, 8))
-    ledger.crashes.crash([run_of("j")], 0)
+    ledger.crashes.record_crash([run_of("j")], 0)
     assert not plan(ledger).stops
     assert plan(ledger, now_ms=planner.APART_FOR_MS).stops
--- a/laburnumsill/batch/tests/test_ledger_machine.py
+++ b/laburnumsill/batch/tests/test_ledger_machine.py
@@ -310,7 +310,7 @@
             for i, run in enumerate(runs)
         ]
         record = ledger.jobs["j"]
-        assert records.attempts(record, runs[0].task) == number - 1
+        assert records.failed_attempts(record, runs[0].task) == number - 1
         note(ledger, *ends)
     assert state_of(ledger) == caller_commands.JobState.FAILED
 
--- a/laburnumsill/batch/worker_book.py
+++ b/laburnumsill/batch/worker_book.py
@@ -1,35 +1,41 @@
-"""What the ledger remembers of workers, those that are gone included."""
+"""The present and the removed workers of the ledger."""
 
 from collections import abc
 
 from laburnumsill.batch import model
 
 MAX_SLOT_COUNTS = 1_000
-"""Amounts for which it is remembered how often they fit into a pool; a day of
-the users has some dozens."""
+"""Maximum number of cached results of `WorkerRegistry.slots_in`; the users
+have some dozens of distinct amounts a day."""
 
 MAX_ABSENT_WORKERS = 1_000
-"""Workers that were removed for their silence and of which it is remembered,
-in some 20 bytes each, what may arrive or be listed once more when a cut heals:
-ends that are noted, and announcements from before a drain."""
+"""Maximum number of removed workers for which sequence numbers are kept.
 
+A worker that was removed as unreachable may return after a network partition.
+It may then report ends that were recorded before, and its announcements from
+before a drain may arrive late. The numbers take some 20 bytes a worker.
+"""
 
-class WorkerBook:
-    """Workers, and what was heard of them last.
+
+class WorkerRegistry:
+    """The workers of the ledger.
 
     Attributes:
-        workers: Those that are known, by id.
-        noted: The place up to which a worker's ends are noted.
-        sequences: Which announcement of a worker is gone by.
-        ended: When incarnations have certainly ended, ms since 1970.
+        workers: The present workers, by id.
+        noted: By worker id: number of the last recorded end.
+        sequences: By worker id: sequence number of the last applied
+            announcement.
+        ended: By worker id: when an incarnation ended, ms since 1970; holds
+            only incarnations that are known to have ended.
 
     Examples:
-        >>> book = WorkerBook()
-        >>> one = model.Worker("w", "p", "a:1", "d", model.Resources(4, 4, 4))
-        >>> book.put(one, 3), book.put(one, 2)
+        >>> registry = WorkerRegistry()
+        >>> capacity = model.Resources(4, 4, 4)
+        >>> worker = model.Worker("w", "p", "a:1", "d", capacity)
+        >>> registry.put(worker, 3), registry.put(worker, 2)
         (True, False)
-        >>> book.remove("w", ended_ms=5)
-        >>> book.put(one, 4)
+        >>> registry.remove("w", ended_ms=5)
+        >>> registry.put(worker, 4)
         False
     """
 
@@ -38,61 +44,68 @@
         self.noted: dict[str, int] = {}
         self.sequences: dict[str, int] = {}
         self.ended: dict[str, int] = {}
-        self._slots: dict[tuple[str, model.Resources], int] = {}
+        self._slot_counts: dict[tuple[str, model.Resources], int] = {}
 
     def slots_in(self, pool: str, needs: model.Resources) -> int:
-        """Returns how many times an amount fits into a pool's workers."""
+        """Returns how many copies of an amount fit into a pool's workers.
+
+        Counts the total capacity of the workers, not the free capacity.
+        """
         key = (pool, needs)
-        if key not in self._slots:
-            if len(self._slots) >= MAX_SLOT_COUNTS:
-                self._slots.clear()
-            self._slots[key] = sum(
+        if key not in self._slot_counts:
+            if len(self._slot_counts) >= MAX_SLOT_COUNTS:
+                self._slot_counts.clear()
+            self._slot_counts[key] = sum(
                 needs.times_in(worker.capacity)
                 for worker in self.workers.values()
                 if worker.pool == pool
             )
-        return self._slots[key]
+        return self._slot_counts[key]
 
     def put(self, worker: model.Worker, sequence: int) -> bool:
-        """Takes what a worker says of itself; returns whether it counts.
+        """Applies an announcement of a worker; returns whether it was applied.
 
-        An announcement may arrive after later ones, and also after the end
-        of its sender: such a one changes nothing.
+        An announcement that arrives after a later one, or after the end of
+        its sender, is ignored.
         """
         worker_id = worker.worker_id
-        overtaken = sequence < self.sequences.get(worker_id, 0)
-        if overtaken or worker_id in self.ended:
+        is_stale = sequence < self.sequences.get(worker_id, 0)
+        if is_stale or worker_id in self.ended:
             return False
         self.workers[worker_id] = worker
-        self._slots.clear()
+        self._slot_counts.clear()
         self.sequences[worker_id] = sequence
         return True
 
-    def note_ends(self, worker_id: str, last: int) -> None:
-        """Takes note up to which place a worker's ends are noted."""
+    def record_ends(self, worker_id: str, last: int) -> None:
+        """Records the number of a worker's last recorded end."""
         if worker_id not in self.ended:
             self.noted[worker_id] = last
 
     def remove(self, worker_id: str, ended_ms: int) -> None:
-        """Forgets a worker.
+        """Removes a worker.
+
+        A worker that is not known to have ended may return, so the number of
+        its last recorded end is kept, and that of its last announcement if it
+        was draining.
 
         Args:
             worker_id: The worker.
-            ended_ms: When it has certainly ended, ms since 1970, or 0.
+            ended_ms: When it ended, ms since 1970; 0 if that is not known.
         """
-        known = self.workers.pop(worker_id, None)
-        self._slots.clear()
+        worker = self.workers.pop(worker_id, None)
+        self._slot_counts.clear()
         if ended_ms:
             self.noted.pop(worker_id, None)
             self.ended[worker_id] = ended_ms
-        ready = known is not None and not known.draining
-        if ended_ms or ready:
+        was_active = worker is not None and not worker.draining
+        if ended_ms or was_active:
             self.sequences.pop(worker_id, None)
-        self._forget_absent(self.noted)
-        self._forget_absent(self.sequences)
+        self._trim_absent(self.noted)
+        self._trim_absent(self.sequences)
 
     def forget(self, before_ms: int) -> None:
-        """Forgets the incarnations that ended before a time."""
+        """Deletes the incarnations that ended before a time."""
         self.ended = {
             worker_id: ended_ms
             for worker_id, ended_ms in self.ended.items()
@@ -100,11 +113,15 @@
         }
 
     def named(self, name: str) -> abc.Iterator[model.Worker]:
-        """Yields the known incarnations that calls to a name may reach."""
-        return (one for one in self.workers.values() if one.call_name == name)
-
-    def _forget_absent(self, known: dict[str, int]) -> None:
-        """Forgets what is known of the workers that are gone the longest."""
-        absent = [one for one in known if one not in self.workers]
+        """Yields the present incarnations that calls to a name may reach."""
+        return (
+            worker
+            for worker in self.workers.values()
+            if worker.call_name == name
+        )
+
+    def _trim_absent(self, numbers: dict[str, int]) -> None:
+        """Deletes the oldest entries of absent workers above the maximum."""
+        absent = [key for key in numbers if key not in self.workers]
         for worker_id in absent[: max(0, len(absent) - MAX_ABSENT_WORKERS)]:
-            del known[worker_id]
+            del numbers[worker_id]
