--- a/laburnumsill/batch/crashes.py
+++ b/laburnumsill/batch/crashes.py
@@ -7,7 +7,7 @@
 jobs.
 
 A crash blames every task that ran on the worker, and a task that ran alone
-there is blamed more. A task with enough blame is a suspect: it is placed apart
+there is blamed more. A task with enough blame is a suspect: it is isolated
 from other tasks, and only one suspect of a step runs at a time, which limits
 both the workers that it can crash and the tasks that are blamed with it. A
 task whose blame reaches the limit fails its job.
@@ -25,7 +25,7 @@
 """Points for the crash of a worker that also ran other tasks."""
 
 SUSPECT_BLAME = 2
-"""Points from which a task is a suspect and is placed apart from others."""
+"""Points from which a task is a suspect and is isolated from others."""
 
 BLAME_LIMIT = 5
 """Points at which the job of a task fails: after three crashes if the task ran
@@ -127,7 +127,7 @@
 
     @property
     def suspects(self) -> abc.Set[model.TaskId]:
-        """The tasks that are to be placed apart from others."""
+        """The tasks that are to be isolated from others."""
         return self._suspects
 
     def blame_of(self, task: model.TaskId) -> Blame:
--- a/laburnumsill/batch/failure_evidence.py
+++ b/laburnumsill/batch/failure_evidence.py
@@ -1,10 +1,10 @@
-"""Telling failing workers from failing jobs by a sequential test.
+"""Detection of faulty workers by a sequential probability ratio test.
 
-The load that this is for: some workers fail whatever they run while gangs come.
-Each failure ends a whole gang, so a worker that is told by its first failure,
-and not by its second, saves one. What a failure proves depends on how often
-runs of its queue fail on sound workers, and on how many workers were found to
-fail lately; both are observed.
+The test tells faulty workers, which fail nearly all their runs, from jobs that
+fail on any worker. Each failure ends a whole gang, so a worker that is detected
+at its first failure, not at its second, saves a gang. The weight of a failure
+depends on the failure rate of its queue on healthy workers and on the number of
+workers that were recently confirmed as faulty; both are observed.
 
 References:
     A. Wald, "Sequential Tests of Statistical Hypotheses", The Annals of
@@ -15,33 +15,34 @@
 import dataclasses
 from collections import abc
 
-FAILING_SHARE = 0.8
-"""Share of its runs that a failing worker fails."""
+FAULTY_FAILURE_RATE = 0.8
+"""Assumed failure rate of runs on a faulty worker."""
 
-ENOUGH_ODDS = 0.25
-"""Odds that a worker fails from which it gets nothing: one sound worker that
-rests for seconds costs less than a gang that is broken."""
+QUARANTINE_ODDS = 0.25
+"""Odds of being faulty from which a worker is quarantined. They are below 1,
+since a quarantine of a healthy worker for seconds costs less than the failure
+of a gang."""
 
-ONE_IN_WORKERS = 100
-"""One in so many workers is taken to fail before anything was seen."""
+PRIOR_WORKERS = 100
+"""Prior for the share of faulty workers: one in this number."""
 
-ONE_IN_RUNS = 20
-"""One in so many runs is taken to fail on sound workers at first."""
+PRIOR_RUNS = 20
+"""Prior for the failure rate of runs on healthy workers: one in this number."""
 
-JOB_WEIGHT = 2.0
-"""What is known of a queue counts for a job like so many ends of its runs."""
+QUEUE_PRIOR_RUNS = 2.0
+"""Weight of the failure rate of a queue as the prior for a job, in runs."""
 
-LATELY_S = 10.0
-"""Failing workers of the last seconds make others likelier to fail."""
+CONFIRMED_WINDOW_S = 10.0
+"""Sliding window in which confirmed faulty workers raise the prior odds."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Ends:
-    """How many runs have ended on sound workers.
+class _RunCounts:
+    """Counts of the ended runs of a job, or of a queue on healthy workers.
 
     Attributes:
-        all: In all.
-        failed: Those that failed.
+        all: Number of ended runs.
+        failed: Number of those that failed.
     """
 
     all: int = 0
@@ -50,12 +51,12 @@
 
 @dataclasses.dataclass(slots=True)
 class _Suspicion:
-    """What speaks against a worker since it last did something.
+    """The evidence against a worker since its last success.
 
     Attributes:
-        queues: The queues of the jobs that failed there, by job.
-        ratio: How much likelier these failures are on a failing worker.
-        is_confirmed: Whether several jobs have shown that it fails.
+        queues: Queue of each job that failed on the worker, by job id.
+        ratio: Likelihood ratio of these failures: faulty to healthy worker.
+        is_confirmed: Whether failures of several jobs led to a quarantine.
     """
 
     queues: dict[str, str] = dataclasses.field(default_factory=dict)
@@ -64,7 +65,7 @@
 
 
 class FailureEvidence:
-    """Weighs the ends of runs; see the module.
+    """Evidence from the ends of runs on whether workers are faulty.
 
     Examples:
         >>> evidence = FailureEvidence()
@@ -79,16 +80,19 @@
     """
 
     def __init__(self) -> None:
-        self._queues: dict[str, _Ends] = collections.defaultdict(_Ends)
-        self._jobs: dict[str, _Ends] = collections.defaultdict(_Ends)
+        self._queues: dict[str, _RunCounts] = collections.defaultdict(
+            _RunCounts
+        )
+        self._jobs: dict[str, _RunCounts] = collections.defaultdict(_RunCounts)
         self._suspicions: dict[str, _Suspicion] = {}
         self._workers: set[str] = set()
         self._confirmed: collections.deque[float] = collections.deque()
 
     def done(self, worker_id: str, queue: str, job_id: str) -> None:
-        """Notes that a run has done its work, which clears its worker.
+        """Records the success of a run, which clears its worker.
 
-        What failed there before was the fault of its job.
+        The earlier failures on the worker then count as failures on a healthy
+        worker, that is, against the queues of their jobs.
         """
         self._workers.add(worker_id)
         self._jobs[job_id].all += 1
@@ -102,22 +106,25 @@
     def failed(
         self, worker_id: str, queue: str, job_id: str, now: float
     ) -> bool:
-        """Notes a failure; returns whether its worker is to get nothing.
+        """Records the failure of a run.
+
+        The failures of one job on a worker count only once against it.
 
-        A job counts once against a worker, however many of its runs fail.
+        Returns:
+            Whether the worker is to be quarantined.
         """
         self._workers.add(worker_id)
         suspicion = self._suspicions.setdefault(worker_id, _Suspicion())
         if job_id not in suspicion.queues:
             suspicion.queues[job_id] = queue
-            suspicion.ratio *= FAILING_SHARE / self._failing_share(
+            suspicion.ratio *= FAULTY_FAILURE_RATE / self._healthy_failure_rate(
                 queue, job_id
             )
-        ends = self._jobs[job_id]
-        ends.all += 1
-        ends.failed += 1
-        odds = self._usual_odds(now) * suspicion.ratio
-        if odds < ENOUGH_ODDS:
+        counts = self._jobs[job_id]
+        counts.all += 1
+        counts.failed += 1
+        odds = self._prior_odds(now) * suspicion.ratio
+        if odds < QUARANTINE_ODDS:
             return False
         if len(suspicion.queues) > 1 and not suspicion.is_confirmed:
             suspicion.is_confirmed = True
@@ -125,25 +132,26 @@
         return True
 
     def keep_jobs(self, jobs: abc.Container[str]) -> None:
-        """Forgets how the runs of all other jobs ended."""
+        """Deletes the counts of all jobs that are not in `jobs`."""
         for job_id in [job for job in self._jobs if job not in jobs]:
             del self._jobs[job_id]
 
-    def _failing_share(self, queue: str, job_id: str) -> float:
-        """Returns which share of a job's runs fails on sound workers.
+    def _healthy_failure_rate(self, queue: str, job_id: str) -> float:
+        """Returns the expected failure rate of a job on healthy workers.
 
-        A job whose runs have failed elsewhere proves little.
+        A job that has failed on other workers has a higher rate, so its
+        failures are weak evidence against a worker.
         """
-        known = self._queues[queue]
-        usual = (known.failed + 1) / (known.all + ONE_IN_RUNS)
-        ends = self._jobs[job_id]
-        share = (ends.failed + JOB_WEIGHT * usual) / (ends.all + JOB_WEIGHT)
-        return min(share, FAILING_SHARE)
-
-    def _usual_odds(self, now: float) -> float:
-        """Returns the odds that any worker fails, before it ran anything."""
-        while self._confirmed and self._confirmed[0] < now - LATELY_S:
-            self._confirmed.popleft()
-        return (len(self._confirmed) + 1) / (
-            len(self._workers) + ONE_IN_WORKERS
+        queue_counts = self._queues[queue]
+        prior = (queue_counts.failed + 1) / (queue_counts.all + PRIOR_RUNS)
+        counts = self._jobs[job_id]
+        rate = (counts.failed + QUEUE_PRIOR_RUNS * prior) / (
+            counts.all + QUEUE_PRIOR_RUNS
         )
+        return min(rate, FAULTY_FAILURE_RATE)
+
+    def _prior_odds(self, now: float) -> float:
+        """Returns the odds that a worker is faulty, before any evidence."""
+        while self._confirmed and self._confirmed[0] < now - CONFIRMED_WINDOW_S:
+            self._confirmed.popleft()
+        return (len(self._confirmed) + 1) / (len(self._workers) + PRIOR_WORKERS)
--- a/laburnumsill/batch/model.py
+++ b/laburnumsill/batch/model.py
@@ -162,7 +162,7 @@
             preempt others.
         max_attempts: Number of failures of a task at which its job fails.
         stretch: Factor of the completion objective, which is `stretch` times
-            the run time of the longest chain of steps, plus `target_ms`.
+            the run time of the critical path, plus `target_ms`.
         target_ms: Constant part of the completion objective, in ms.
     """
 
--- a/laburnumsill/batch/tests/test_failure_evidence.py
+++ b/laburnumsill/batch/tests/test_failure_evidence.py
@@ -1,4 +1,4 @@
-"""Loads with failing workers, failing jobs, and both."""
+"""Detection of faulty workers beside jobs that fail by themselves."""
 
 import random
 
@@ -7,91 +7,91 @@
 WORKERS = [f"w{number}" for number in range(270)]
 RELIABLE = "urgent"
 UNRELIABLE = "batch"
-OWN_FAILURES = {RELIABLE: 0.005, UNRELIABLE: 0.05}
+QUEUE_FAILURE_RATES = {RELIABLE: 0.005, UNRELIABLE: 0.05}
 
 
-def after_calm(source, runs=4_000):
-    """Returns evidence that has seen sound workers and usual jobs."""
+def trained_evidence(source, runs=4_000):
+    """Returns evidence from runs on healthy workers at the queues' rates."""
     evidence = failure_evidence.FailureEvidence()
     for number in range(runs):
         queue = source.choice((RELIABLE, UNRELIABLE))
         worker = source.choice(WORKERS)
         job = f"calm-{number // 5}"
-        if source.random() < OWN_FAILURES[queue]:
+        if source.random() < QUEUE_FAILURE_RATES[queue]:
             evidence.failed(worker, queue, job, 0.0)
         else:
             evidence.done(worker, queue, job)
     return evidence
 
 
-def test_one_failure_of_a_reliable_queue_tells_a_failing_worker():
-    """The load: gangs meet workers that fail everything, some at a time."""
-    evidence = after_calm(random.Random(1))
-    told = [
+def test_one_failure_of_a_reliable_queue_reveals_a_faulty_worker():
+    """Gangs run on several workers that fail all their runs."""
+    evidence = trained_evidence(random.Random(1))
+    quarantined = [
         evidence.failed(worker, RELIABLE, f"gang-{number}", 10.0)
         for number, worker in enumerate(WORKERS[:20])
     ]
-    assert all(told)
+    assert all(quarantined)
 
 
-def test_where_jobs_often_fail_themselves_it_takes_two():
-    evidence = after_calm(random.Random(2))
+def test_two_failures_of_an_unreliable_queue_reveal_a_faulty_worker():
+    evidence = trained_evidence(random.Random(2))
     assert not evidence.failed("w7", UNRELIABLE, "a", 10.0)
     assert evidence.failed("w7", UNRELIABLE, "b", 11.0)
 
 
-def test_many_failing_workers_at_a_time_make_the_next_one_likelier():
-    evidence = after_calm(random.Random(3))
+def test_recently_confirmed_faulty_workers_raise_the_odds_for_others():
+    evidence = trained_evidence(random.Random(3))
     for number, worker in enumerate(WORKERS[:20]):
         evidence.failed(worker, UNRELIABLE, f"a-{number}", 10.0)
         evidence.failed(worker, UNRELIABLE, f"b-{number}", 10.0)
     assert evidence.failed("w200", UNRELIABLE, "c", 11.0)
-    later = 11.0 + 2 * failure_evidence.LATELY_S
+    later = 11.0 + 2 * failure_evidence.CONFIRMED_WINDOW_S
     assert not evidence.failed("w201", UNRELIABLE, "d", later)
 
 
-def test_a_job_that_fails_everywhere_is_not_the_workers_doing():
-    """The load: one job of 40 tasks, each of which fails wherever it runs."""
-    evidence = after_calm(random.Random(4))
-    blamed = [
+def test_a_job_that_fails_everywhere_quarantines_few_workers():
+    """Each of the 40 tasks of one job fails on any worker."""
+    evidence = trained_evidence(random.Random(4))
+    quarantined = [
         worker
         for worker in WORKERS[:40]
         if evidence.failed(worker, RELIABLE, "poisoned", 10.0)
     ]
-    assert len(blamed) <= 2
+    assert len(quarantined) <= 2
 
 
-def test_failures_of_one_job_count_once():
+def test_failures_of_one_job_on_a_worker_count_once():
     evidence = failure_evidence.FailureEvidence()
     assert not any(evidence.failed("w", "q", "a", 0.1 * n) for n in range(9))
 
 
-def test_sound_workers_are_seldom_told_to_fail():
-    """The load: calm days with many jobs that fail by themselves."""
+def test_healthy_workers_are_seldom_quarantined():
+    """Many jobs fail by themselves, at the rates of their queues."""
     source = random.Random(5)
-    evidence = after_calm(source)
-    rested = 0
+    evidence = trained_evidence(source)
+    quarantines = 0
     for number in range(10_000):
         queue = source.choice((RELIABLE, UNRELIABLE))
         worker = source.choice(WORKERS)
         job = f"job-{number // 5}"
         now = 10.0 + number / 80
-        if source.random() >= OWN_FAILURES[queue]:
+        if source.random() >= QUEUE_FAILURE_RATES[queue]:
             evidence.done(worker, queue, job)
         else:
-            rested += evidence.failed(worker, queue, job, now)
-    # Each rests for 4 s of 125: one worker in a hundred at a time.
-    assert rested < len(WORKERS) / 100 * 125 / 4
+            quarantines += evidence.failed(worker, queue, job, now)
+    # A quarantine lasts 4 s of 125 s, so the bound is 1 % of the workers.
+    assert quarantines < len(WORKERS) / 100 * 125 / 4
 
 
-def test_what_is_done_clears_a_worker():
+def test_a_successful_run_clears_a_worker():
     evidence = failure_evidence.FailureEvidence()
     assert not evidence.failed("w", "q", "a", 0.0)
     evidence.done("w", "q", "b")
     assert not evidence.failed("w", "q", "c", 1.0)
 
 
-def test_ended_jobs_are_forgotten():
+def test_counts_of_ended_jobs_are_deleted():
     evidence = failure_evidence.FailureEvidence()
     for number in range(50):
         evidence.done("w", "q", f"j{number}")
