--- a/laburnumsill/batch/tests/test_crashes.py
+++ b/laburnumsill/batch/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Which tasks are blamed for the crashes of workers, and what follows."""
+"""Attribution of worker crashes to tasks, and isolation of suspects."""
 
 import msgspec
 import pytest
@@ -25,7 +25,7 @@
 
 
 def crash(ledger, worker_id, at_ms=GONE_MS):
-    """Has a worker crash, and another one begin at its address."""
+    """Crashes a worker, and adds its successor at the same address."""
     worker = ledger.workers[worker_id]
     ledger.remove_worker(
         commands.RemoveWorker(worker_id, "421", (), at_ms, True)
@@ -35,11 +35,11 @@
 
 
 def addressed_site():
-    """Returns a site of workers with an address each, and jobs j and k."""
+    """Returns a site whose workers have addresses, with jobs j and k."""
     ledger = planned_site.site(1, 2)
     for worker in list(ledger.workers.values()):
-        known = msgspec.structs.replace(worker, address=worker.worker_id)
-        ledger.put_worker(commands.PutWorker(known))
+        addressed = msgspec.structs.replace(worker, address=worker.worker_id)
+        ledger.put_worker(commands.PutWorker(addressed))
     planned_site.submit(
         ledger,
         planned_site.job("j", 1, 1, priority=1),
@@ -52,7 +52,7 @@
     return str(ledger.jobs[job_id].state)
 
 
-def test_a_task_that_was_alone_at_three_crashes_fails_its_job():
+def test_a_task_that_ran_alone_at_three_crashes_fails_its_job():
     ledger = addressed_site()
     worker_id = "w00"
     for number in (1, 2, 3):
@@ -65,7 +65,7 @@
     assert state(ledger, "k") == "queued"
 
 
-def test_a_task_that_shares_its_workers_is_borne_longer():
+def test_a_task_that_shared_its_workers_fails_its_job_at_five_crashes():
     ledger = addressed_site()
     worker_id = "w00"
     for number in (1, 2, 3, 4, 5):
@@ -77,7 +77,7 @@
 
 
 def test_after_three_crashes_a_task_is_started_twice_more_however_it_ends():
-    """Another member of its gang may crash its worker before it does."""
+    """A gang member whose runs end with the gang gains no more blame."""
     ledger = addressed_site()
     worker_id = "w00"
     for number in (1, 2, 3):
@@ -87,15 +87,15 @@
     for number in (4, 5):
         run = run_of("j", number)
         place(ledger, worker_id, run)
-        broken = commands.EndedRun(number, run, commands.EndKind.MEMBER_ENDED)
-        ledger.note_ends(commands.NoteEnds(worker_id, (broken,), 0))
+        ended = commands.EndedRun(number, run, commands.EndKind.MEMBER_ENDED)
+        ledger.note_ends(commands.NoteEnds(worker_id, (ended,), 0))
     group = (commands.Placement(run_of("j", 6), worker_id),)
     placed = ledger.place(commands.PlaceRuns((group,), GONE_MS))
     assert placed.refusals == ("j.0.0.0 has crashed too many workers",)
     assert state(ledger, "j") == "failed"
 
 
-def test_a_worker_that_leaves_or_drains_blames_nobody():
+def test_no_task_is_blamed_for_a_worker_that_leaves():
     ledger = addressed_site()
     place(ledger, "w00", run_of("j"))
     ledger.remove_worker(commands.RemoveWorker("w00", "it left", (), GONE_MS))
@@ -116,8 +116,8 @@
 
 
 @pytest.mark.parametrize("restarts", [False, True])
-def test_a_run_given_up_before_the_crash_is_known_is_blamed(restarts):
-    """Its lease ended, and only then its worker was found to have crashed."""
+def test_a_run_released_before_the_crash_is_known_is_blamed(restarts):
+    """The lease of the run ended before the crash of its worker was known."""
     ledger = addressed_site()
     place(ledger, "w00", run_of("j"))
     lost = commands.Release(run_of("j"), "w00", "lease", is_lost=True)
@@ -132,7 +132,7 @@
     assert blame == crashes.Blame(crashes.BLAME_ALONE, GONE_MS, 1)
 
 
-def test_a_silent_worker_has_crashed_once_another_has_its_address():
+def test_an_unreachable_worker_has_crashed_if_another_has_its_address():
     ledger = addressed_site()
     place(ledger, "w00", run_of("j"))
     worker = ledger.workers["w00"]
@@ -143,19 +143,19 @@
     assert blame == crashes.Blame(crashes.BLAME_ALONE, GONE_MS, 1)
 
 
-def test_a_worker_that_tells_at_last_how_a_run_ended_has_not_crashed_by_it():
+def test_a_lost_run_is_not_blamed_once_its_worker_reports_its_end():
     ledger = addressed_site()
     place(ledger, "w00", run_of("j"))
     worker = ledger.workers["w00"]
     ledger.remove_worker(commands.RemoveWorker("w00", "silent"))
     ledger.put_worker(commands.PutWorker(worker))
-    lapsed = commands.EndedRun(1, run_of("j"), commands.EndKind.LEASE_ENDED)
-    ledger.note_ends(commands.NoteEnds("w00", (lapsed,), 0))
+    expired = commands.EndedRun(1, run_of("j"), commands.EndKind.LEASE_ENDED)
+    ledger.note_ends(commands.NoteEnds("w00", (expired,), 0))
     crash(ledger, "w00")
     assert ledger.crashes.blame_of(run_of("j").task) == crashes.NO_BLAME
 
 
-def test_a_snapshot_from_before_crashes_were_counted_is_read():
+def test_a_snapshot_without_crash_records_is_read():
     ledger = addressed_site()
     name, body = msgspec.msgpack.decode(ledger.dump())
     del body["crashes"]
@@ -165,7 +165,7 @@
     assert not restored.crashes.suspects
 
 
-def test_commands_from_before_crashes_were_counted_blame_nobody():
+def test_a_stored_command_without_the_crashed_field_is_read():
     raw = codec.encode(commands.RemoveWorker("w00", "421", (), GONE_MS))
     name, body = msgspec.msgpack.decode(raw)
     del body["crashed"]
@@ -173,8 +173,8 @@
     assert not command.crashed
 
 
-def blamed_site(job_id, tasks=(0,), racks=1, per_rack=3, **step):
-    """Returns a site where tasks of a job are suspects."""
+def site_with_suspects(job_id, tasks=(0,), racks=1, per_rack=3, **step):
+    """Returns a site with a job of which some tasks are suspects."""
     ledger = planned_site.site(racks, per_rack)
     count = max(tasks) + 1
     planned_site.submit(
@@ -189,42 +189,44 @@
     return planner.plan(planned_site.view(ledger, now_ms=now_ms))
 
 
-def test_a_suspect_goes_to_an_empty_worker_and_others_go_elsewhere():
-    ledger = blamed_site("j")
+def test_a_suspect_gets_an_empty_worker_and_other_tasks_avoid_it():
+    ledger = site_with_suspects("j")
     planned_site.occupy(ledger, "w00", "o", 1)
     planned_site.submit(ledger, planned_site.job("k", 4, 1, priority=2))
     made = plan(ledger)
-    places = {
+    workers = {
         group[0].run.task.job_id: {placed.worker_id for placed in group}
         for group in made.groups
     }
-    assert places["j"].isdisjoint({"w00"} | places["k"])
+    assert workers["j"].isdisjoint({"w00"} | workers["k"])
 
 
 def test_one_suspect_of_a_step_runs_at_a_time():
-    ledger = blamed_site("j", tasks=(0, 1, 2))
+    ledger = site_with_suspects("j", tasks=(0, 1, 2))
     planned_site.carry_out(ledger, plan(ledger))
     assert len(ledger.runs) == 1
     assert not plan(ledger).groups
 
 
-def test_a_suspect_waits_a_while_for_an_empty_worker():
-    ledger = blamed_site("j", per_rack=2)
+def test_a_suspect_waits_for_an_empty_worker_up_to_a_timeout():
+    ledger = site_with_suspects("j", per_rack=2)
     planned_site.occupy(ledger, "w00", "o", 1)
     planned_site.occupy(ledger, "w01", "p", 1)
     planned_site.occupy(ledger, "w01", "q", 1)
     assert not plan(ledger).groups
     made = plan(ledger, now_ms=planner.APART_FOR_MS)
-    assert planned_site.taken(made) == {"w00"}  # it runs the least
+    assert planned_site.taken(made) == {
+        "w00"
+    }  # the worker with the fewest live runs
 
 
 @pytest.mark.parametrize("gang", [False, True])
 def test_two_suspects_do_not_share_a_worker(gang):
-    """They were blamed together, and would be so again and again."""
-    ledger = blamed_site("j", per_rack=2)
+    """Suspects on one worker would be blamed together at each crash."""
+    ledger = site_with_suspects("j", per_rack=2)
     planned_site.carry_out(ledger, plan(ledger))
-    (alone,) = {record.worker_id for record in ledger.runs.values()}
-    (other,) = ledger.workers.keys() - {alone}
+    (isolated,) = {record.worker_id for record in ledger.runs.values()}
+    (other,) = ledger.workers.keys() - {isolated}
     for name in ("o", "p"):
         planned_site.occupy(ledger, other, name, 1)
     suspect = planned_site.job("k", 1, 1, priority=1, gang=gang)
@@ -234,14 +236,14 @@
     assert planned_site.taken(made) == {other}
 
 
-def test_others_go_beside_a_suspect_where_nothing_else_has_room():
-    ledger = blamed_site("j", per_rack=1)
+def test_other_tasks_join_a_suspect_if_no_other_worker_has_capacity():
+    ledger = site_with_suspects("j", per_rack=1)
     planned_site.carry_out(ledger, plan(ledger))
     planned_site.submit(ledger, planned_site.job("k", 1, 1, priority=2))
     assert planned_site.placed_jobs(plan(ledger)) == {"k"}
 
 
-def test_an_urgent_suspect_stops_nothing_while_it_may_find_an_empty_worker():
+def test_an_urgent_suspect_preempts_only_after_the_isolation_timeout():
     ledger = planned_site.site(1, 1)
     planned_site.occupy(ledger, "w00", "o", 8, priority=1)
     planned_site.submit(ledger, planned_site.job("j", 1, 8))
--- a/laburnumsill/batch/tests/test_ledger_machine.py
+++ b/laburnumsill/batch/tests/test_ledger_machine.py
@@ -1,4 +1,4 @@
-"""The ledger under any order of commands, also those it must refuse."""
+"""State machine test of the ledger: random commands, also invalid ones."""
 
 import collections
 
@@ -40,12 +40,12 @@
         self.now = 0
         self.ended_states = {}
         self.done = set()
-        self.lives = dict.fromkeys(WORKERS, 0)
+        self.incarnations = dict.fromkeys(WORKERS, 0)
         self.crashes = collections.Counter()
 
-    def name(self, worker_id):
-        """Returns the id of the present incarnation at an address."""
-        return f"{worker_id}-{self.lives[worker_id]}"
+    def present_id(self, address):
+        """Returns the worker id of the present incarnation at an address."""
+        return f"{address}-{self.incarnations[address]}"
 
     def tick(self):
         self.now += 1
@@ -77,7 +77,7 @@
     @stateful.rule(worker_id=st.sampled_from(WORKERS), draining=st.booleans())
     def put_worker(self, worker_id, draining):
         address = worker_id
-        worker_id = self.name(worker_id)
+        worker_id = self.present_id(worker_id)
         worker = model.Worker(
             worker_id, "pool", address, "d", CAPACITY, draining=draining
         )
@@ -85,24 +85,24 @@
 
     @stateful.rule(worker_id=st.sampled_from(WORKERS))
     def remove_worker(self, worker_id):
-        worker_id = self.name(worker_id)
+        worker_id = self.present_id(worker_id)
         self.ledger.remove_worker(commands.RemoveWorker(worker_id, "gone"))
 
     @stateful.rule(worker_id=st.sampled_from(WORKERS), crashed=st.booleans())
     def end_worker(self, worker_id, crashed):
-        name = self.name(worker_id)
-        for run in self.ledger.runs_on(name):
+        present_id = self.present_id(worker_id)
+        for run in self.ledger.runs_on(present_id):
             self.crashes[run.task] += crashed
         self.ledger.remove_worker(
             commands.RemoveWorker(
-                name, "ended", ended_ms=self.tick(), crashed=crashed
+                present_id, "ended", ended_ms=self.tick(), crashed=crashed
             )
         )
-        self.lives[worker_id] += 1
+        self.incarnations[worker_id] += 1
 
     @stateful.rule(data=st.data(), job_id=st.sampled_from(JOBS))
     def place(self, data, job_id):
-        """Places a step's tasks anywhere, whether that is allowed or not."""
+        """Places tasks of a step on random workers, allowed or not."""
         record = self.ledger.jobs.get(job_id)
         if record is None:
             return
@@ -113,7 +113,7 @@
         last = max(t.last_run for t in record.steps[0][number].tasks)
         for index in range(count):
             run = model.RunId(model.TaskId(job_id, 0, number, index), last + 1)
-            worker_id = self.name(data.draw(st.sampled_from(WORKERS)))
+            worker_id = self.present_id(data.draw(st.sampled_from(WORKERS)))
             group.append(commands.Placement(run, worker_id))
         placed = self.ledger.place(
             commands.PlaceRuns((tuple(group),), self.tick())
@@ -133,7 +133,7 @@
         end = commands.EndedRun(number, record.run, kind, "s")
         note = commands.NoteEnds(record.worker_id, (end,), self.tick())
         for _ in range(data.draw(st.integers(1, 2))):
-            self.ledger.note_ends(note)  # a repeated note changes nothing
+            self.ledger.note_ends(note)  # a repeated command is ignored
 
     @stateful.rule(data=st.data())
     def release(self, data):
@@ -158,7 +158,7 @@
             assert self.ledger.live_run(task) in self.ledger.runs
 
     @stateful.invariant()
-    def what_is_counted_along_is_what_counting_anew_gives(self):
+    def indices_match_a_recount_of_the_live_runs(self):
         for worker_id, worker in self.ledger.workers.items():
             free = worker.capacity
             for run, record in self.ledger.runs.items():
@@ -174,15 +174,15 @@
         }
 
     @stateful.invariant()
-    def what_waits_is_neither_done_nor_live(self):
+    def waiting_tasks_are_neither_done_nor_live(self):
         for job_id, record in self.ledger.active_jobs.items():
             for number, step in enumerate(record.steps[0]):
                 waiting = [
-                    name
+                    task_id
                     for index, task in enumerate(step.tasks)
                     if not task.done_run
                     and self.ledger.live_run(
-                        name := model.TaskId(job_id, 0, number, index)
+                        task_id := model.TaskId(job_id, 0, number, index)
                     )
                     is None
                 ]
@@ -196,7 +196,7 @@
             assert model.Resources().fits_in(free), free
 
     @stateful.invariant()
-    def an_end_is_never_taken_back(self):
+    def ends_of_jobs_and_tasks_are_final(self):
         for job_id, record in self.ledger.jobs.items():
             before = self.ended_states.get(job_id)
             assert before is None or record.state == before
@@ -205,13 +205,13 @@
             for occurrence in record.steps:
                 for number, step in enumerate(occurrence):
                     for index, task in enumerate(step.tasks):
-                        name = model.TaskId(job_id, 0, number, index)
-                        assert task.done_run or name not in self.done
+                        task_id = model.TaskId(job_id, 0, number, index)
+                        assert task.done_run or task_id not in self.done
                         if task.done_run:
-                            self.done.add(name)
+                            self.done.add(task_id)
 
     @stateful.invariant()
-    def what_is_shown_is_true(self):
+    def job_states_match_the_ends_of_tasks(self):
         for record in self.ledger.jobs.values():
             if record.state is caller_commands.JobState.COMPLETED:
                 assert record.done
@@ -221,22 +221,22 @@
                     for step in record.steps[0]
                     for task in step.tasks
                 )
-                assert failed or self.may_be_given_up(record.job.job_id)
+                assert failed or self.may_exceed_blame_limit(record.job.job_id)
 
-    def may_be_given_up(self, job_id):
+    def may_exceed_blame_limit(self, job_id):
         return any(
             count >= FEWEST_CRASHES and task.job_id == job_id
             for task, count in self.crashes.items()
         )
 
     @stateful.invariant()
-    def a_task_that_crashed_many_workers_is_given_up(self):
+    def a_task_that_crashed_many_workers_fails_its_job(self):
         for task, count in self.crashes.items():
             if count >= MOST_CRASHES:
                 assert task.job_id not in self.ledger.active_jobs
 
     @stateful.invariant()
-    def a_step_has_run_only_after_those_before(self):
+    def a_step_has_run_only_after_its_dependencies(self):
         for record in self.ledger.jobs.values():
             for number, step in enumerate(record.steps[0]):
                 if any(task.last_run for task in step.tasks):
@@ -250,7 +250,7 @@
 
 
 def ledger_with(tasks, attempts=2):
-    """Returns a ledger with one worker and one job; two tasks are a gang."""
+    """Returns a ledger with a worker and a job; several tasks are a gang."""
     ledger = ledgers.BatchLedger()
     worker = model.Worker("w0", "pool", "", "d", CAPACITY)
     ledger.put_worker(commands.PutWorker(worker))
@@ -270,12 +270,12 @@
 
 
 def place(ledger, runs):
-    """Places runs as one group; returns why not."""
+    """Places runs as one group; returns the refusal, "" if placed."""
     group = tuple(commands.Placement(run, "w0") for run in runs)
     return ledger.place(commands.PlaceRuns((group,), 0)).refusals[0]
 
 
-def note(ledger, *ends):
+def record_ends(ledger, *ends):
     ledger.note_ends(commands.NoteEnds("w0", ends, 5))
 
 
@@ -291,16 +291,16 @@
     assert place(ledger, runs) == ""
 
 
-def test_one_members_good_end_stands_for_its_gang():
+def test_success_of_one_member_completes_its_gang():
     ledger = ledger_with(2)
     runs = runs_of(2)
     place(ledger, runs)
-    note(ledger, commands.EndedRun(1, runs[0], commands.EndKind.DONE))
+    record_ends(ledger, commands.EndedRun(1, runs[0], commands.EndKind.DONE))
     assert state_of(ledger) == caller_commands.JobState.COMPLETED
-    assert list(ledger.runs) == [runs[1]]  # occupies its worker until it ends
+    assert list(ledger.runs) == [runs[1]]  # live until its own end is recorded
 
 
-def test_a_gang_fails_once_a_run():
+def test_a_failed_run_of_a_gang_counts_as_one_attempt():
     ledger = ledger_with(2)
     for number in (1, 2):
         runs = runs_of(2, number)
@@ -311,7 +311,7 @@
         ]
         record = ledger.jobs["j"]
         assert records.failed_attempts(record, runs[0].task) == number - 1
-        note(ledger, *ends)
+        record_ends(ledger, *ends)
     assert state_of(ledger) == caller_commands.JobState.FAILED
 
 
@@ -321,5 +321,5 @@
     place(ledger, [run])
     lost = commands.Release(run, "w0", "its lease has ended")
     ledger.release(commands.ReleaseRuns((lost,), 1))
-    note(ledger, commands.EndedRun(1, run, commands.EndKind.FAILED))
+    record_ends(ledger, commands.EndedRun(1, run, commands.EndKind.FAILED))
     assert state_of(ledger) == caller_commands.JobState.FAILED
--- a/laburnumsill/batch/tests/test_worker_incarnations.py
+++ b/laburnumsill/batch/tests/test_worker_incarnations.py
@@ -1,4 +1,4 @@
-"""Announcements that arrive after later ones, or after their sender's end."""
+"""Stale announcements, and runs that pass to a worker's next incarnation."""
 
 import msgspec
 import pytest
@@ -22,7 +22,7 @@
     )
 
 
-def test_an_overtaken_announcement_does_not_take_a_drain_back():
+def test_a_stale_announcement_does_not_undo_a_drain():
     ledger = ledgers.BatchLedger()
     ledger.put_worker(commands.PutWorker(worker(), 3))
     ledger.put_worker(commands.PutWorker(worker(draining=True), 9))
@@ -34,7 +34,7 @@
     assert restored.workers["w"].draining
 
 
-def test_a_worker_that_has_ended_is_never_known_again():
+def test_announcements_of_an_ended_incarnation_are_ignored():
     ledger = ledgers.BatchLedger()
     ledger.put_worker(commands.PutWorker(worker(), 3))
     gone = commands.RemoveWorker("w", "it left", (), ENDED_MS)
@@ -49,7 +49,7 @@
         assert not one.has_ended("w")
 
 
-def test_a_worker_that_was_only_silent_may_come_back():
+def test_a_worker_that_was_removed_as_unreachable_may_return():
     ledger = ledgers.BatchLedger()
     ledger.put_worker(commands.PutWorker(worker(), 3))
     ledger.remove_worker(commands.RemoveWorker("w", "silent"))
@@ -76,7 +76,7 @@
 
 
 def test_a_late_announcement_of_a_crashed_worker_takes_no_work():
-    """Its successor at the same address is asked which of them is there."""
+    """The leader probes the address; the successor of the worker answers."""
 
     async def script(site):
         await trio.sleep(1.0)
@@ -85,7 +85,7 @@
         site.add_worker("reborn", 0, old.address)
         await trio.sleep(0.5)
         assert set(site.ledger.workers) == {"reborn"}
-        # Neither its crash nor its successor was known to this leader.
+        # Models a leader that does not know that the old worker has ended.
         site.ledger._book.ended.clear()
         site.announce(old, 100)
         await site.submit(gang("j", 2), [1.0])
@@ -97,7 +97,7 @@
     play(script)
 
 
-def test_work_waits_while_two_workers_claim_an_unreachable_address():
+def test_jobs_wait_while_two_workers_claim_an_unreachable_address():
     async def script(site):
         await trio.sleep(1.0)
         old = site.pool.workers["w0-0"].worker
@@ -116,7 +116,7 @@
 
 
 def test_an_unnamed_pool_takes_no_worker_out_of_a_named_one():
-    """An announcement of another writer may bear the id of a sound worker."""
+    """A foreign announcement may carry the id of a healthy worker."""
 
     async def script(site):
         known = site.pool.workers["w0-0"].worker
@@ -135,7 +135,7 @@
 
 
 def test_a_worker_of_an_unnamed_pool_blocks_no_address():
-    """It may be of another writer, and nothing may answer for it."""
+    """A foreign worker that does not answer may claim any address."""
 
     async def script(site):
         known = site.pool.workers["w0-0"].worker
@@ -154,7 +154,7 @@
 
 
 def test_a_worker_that_was_silent_does_not_come_back_as_it_was_before():
-    """A heartbeat from before its drain may arrive when a cut has healed."""
+    """A heartbeat from before the drain may arrive late, after a partition."""
     ledger = ledgers.BatchLedger()
     ledger.put_worker(commands.PutWorker(worker(draining=True), 9))
     ledger.remove_worker(commands.RemoveWorker("w", "silent"))
@@ -171,17 +171,17 @@
     site.groups.lead("vm2" if site.groups.leader == "vm1" else "vm1")
 
 
-def restarted(site):
-    """All VMs restart from a snapshot."""
+def snapshot_restart(site):
+    """Restarts all VMs from a snapshot."""
     site.ledger.load(site.ledger.dump())
     new_leader(site)
 
 
-def memory_pruned(site):
+def forget_ended(site):
     site.groups.machine.apply(commands.ForgetJobs(10**15))
 
 
-def nothing(site):
+def no_event(site):
     pass
 
 
@@ -189,12 +189,12 @@
 @pytest.mark.parametrize("vm", ["vm1", "vm2"])
 @pytest.mark.parametrize("order", ["event first", "announcement first"])
 @pytest.mark.parametrize(
-    "event", [nothing, new_leader, restarted, memory_pruned]
+    "event", [no_event, new_leader, snapshot_restart, forget_ended]
 )
-def test_a_late_announcement_changes_nothing_whatever_happens(
+def test_a_late_announcement_of_an_ended_worker_is_ignored_after_any_event(
     event, order, vm, draining
 ):
-    """Its sender crashed, and another worker is there at its address."""
+    """The sender has crashed, and its successor has its address."""
 
     async def script(site):
         await trio.sleep(1.0)
@@ -224,7 +224,7 @@
 
 
 def test_a_failure_that_is_listed_again_after_a_long_cut_counts_once():
-    """The worker never heard that its end was noted."""
+    """The worker was not told that the ledger had recorded the end."""
     ledger = ledgers.BatchLedger()
     ledger.put_worker(commands.PutWorker(worker(), 3))
     step = model.Step(1, model.Resources(1, 1, 1))
@@ -246,17 +246,17 @@
 
 
 def test_a_worker_of_an_unnamed_pool_is_not_called():
-    """Its address may be anything; no run was ever ordered there."""
+    """The address of a foreign worker may belong to any other service."""
     called = set()
 
     async def script(site):
         report = site.client.report
 
-        async def noted(worker, order, deadline):
+        async def recorded_report(worker, order, deadline):
             called.add(worker.worker_id)
             return await report(worker, order, deadline)
 
-        site.client.report = noted
+        site.client.report = recorded_report
         known = site.pool.workers["w0-0"].worker
         stray = msgspec.structs.replace(
             known, pool="nobody's", worker_id="stray", address="elsewhere"
@@ -272,12 +272,12 @@
     assert called == {"w0-0", "w0-1"}
 
 
-NEXT = msgspec.structs.replace(worker(), worker_id="w@9", name="w")
+SUCCESSOR = msgspec.structs.replace(worker(), worker_id="w@9", name="w")
 RUN = model.RunId(model.TaskId("j", 0, 0, 0), 1)
 
 
 def restarted_ledger():
-    """Returns a ledger in which a worker with a run has started again."""
+    """Returns a ledger in which a worker with a live run has restarted."""
     ledger = ledgers.BatchLedger()
     ledger.put_worker(commands.PutWorker(worker(), 30))
     step = model.Step(1, model.Resources(1, 1, 1))
@@ -290,7 +290,7 @@
     ledger.note_ends(commands.NoteEnds("w", (earlier,), 0))
     run = model.RunId(RUN.task, 2)
     ledger.place(commands.PlaceRuns(((commands.Placement(run, "w"),),), 0))
-    ledger.put_worker(commands.PutWorker(NEXT, 1))
+    ledger.put_worker(commands.PutWorker(SUCCESSOR, 1))
     ledger.remove_worker(
         commands.RemoveWorker("w", "421", (), 5, True, successor="w@9")
     )
@@ -298,8 +298,8 @@
 
 
 @pytest.mark.parametrize("restarts", [False, True])
-def test_a_run_of_an_earlier_life_is_left_to_the_next_one(restarts):
-    """It may get the orders that were meant for the one before."""
+def test_a_run_of_an_earlier_incarnation_passes_to_the_successor(restarts):
+    """The successor may receive orders that were sent to its predecessor."""
     ledger, run = restarted_ledger()
     if restarts:
         restored = ledgers.BatchLedger()
@@ -315,7 +315,7 @@
     assert ledger.jobs["j"].done
 
 
-def test_a_run_of_an_earlier_life_is_blamed_once_for_its_crash():
+def test_a_run_that_passed_to_a_successor_is_blamed_for_one_crash():
     ledger, run = restarted_ledger()
     blame = ledger.crashes.blame_of(run.task)
     assert blame.points == 2
@@ -324,7 +324,7 @@
     assert not ledger.runs
 
 
-def test_records_from_before_workers_kept_their_names_are_read():
+def test_records_without_worker_names_and_stray_flags_are_read():
     ledger, run = restarted_ledger()
     name, body = msgspec.msgpack.decode(ledger.dump())
     for one in body["workers"]:
