--- a/laburnumsill/batch/failure_evidence.py
+++ b/laburnumsill/batch/failure_evidence.py
@@ -24,10 +24,10 @@
 of a gang."""
 
 PRIOR_WORKERS = 100
-"""Prior for the share of faulty workers: one in this number."""
+"""Prior share of faulty workers: one in this number."""
 
 PRIOR_RUNS = 20
-"""Prior for the failure rate of runs on healthy workers: one in this number."""
+"""Prior failure rate of runs on healthy workers: one in this number."""
 
 QUEUE_PRIOR_RUNS = 2.0
 """Weight of the failure rate of a queue as the prior for a job, in runs."""
--- a/laburnumsill/batch/ledger.py
+++ b/laburnumsill/batch/ledger.py
@@ -81,7 +81,7 @@
 
     @property
     def crashes(self) -> crash_module.CrashTracker:
-        """The tasks that are blamed for crashes of workers."""
+        """Attribution of worker crashes to tasks."""
         return self._crashes
 
     @property
@@ -126,7 +126,8 @@
     def waiting_tasks(self, key: model.StepKey) -> abc.Sequence[model.TaskId]:
         """Returns the tasks of a step that are not done and have no live run.
 
-        The result is cached until a run of the step is added or removed.
+        The result is cached until a run of the step starts or ends, or a task
+        of it is done.
         """
         waiting = self._waiting.get(key)
         if waiting is None:
@@ -143,7 +144,7 @@
         return self._book.noted.get(worker_id, 0)
 
     def sequence(self, worker_id: str) -> int:
-        """Returns the sequence number of the last announcement applied."""
+        """Returns the sequence number of a worker's last announcement."""
         return self._book.sequences.get(worker_id, 0)
 
     def has_ended(self, worker_id: str) -> bool:
@@ -289,7 +290,7 @@
             self._fail_blamed_jobs([*earlier, *begun], at_ms)
 
     def _record_loss(self, worker_id: str) -> None:
-        """Records the runs of a worker as lost while it may have crashed."""
+        """Records the runs of a worker as lost, unless it is draining."""
         worker = self.workers.get(worker_id)
         if worker is not None and not worker.draining:
             runs = self.runs_on(worker_id).values()
--- a/laburnumsill/batch/model.py
+++ b/laburnumsill/batch/model.py
@@ -99,8 +99,8 @@
 """Result of `Resources.times_in` for a task that needs no resources."""
 
 CORES_PER_ACCELERATOR = 8
-"""Number of cores that one accelerator counts for, as in the users' price
-list, where amounts of resources are compared by a single number."""
+"""Number of cores that one accelerator counts for where amounts are compared
+in cores; the users' price list has the same ratio."""
 
 
 @codec.register("batch.step")
@@ -158,8 +158,8 @@
 
     Attributes:
         pool: The service whose workers run the tasks.
-        priority: Lower numbers are placed first; jobs of priority 0 may
-            preempt others.
+        priority: Jobs with lower numbers are placed first; jobs of priority
+            0 may preempt others.
         max_attempts: Number of failures of a task at which its job fails.
         stretch: Factor of the completion objective, which is `stretch` times
             the run time of the critical path, plus `target_ms`.
--- a/laburnumsill/batch/tests/test_worker_incarnations.py
+++ b/laburnumsill/batch/tests/test_worker_incarnations.py
@@ -58,6 +58,8 @@
 
 
 def play(script):
+    """Runs a script on an emulated site; fails if its oracle sees a fault."""
+
     async def main():
         site = sites.EmulatedSite(1, racks=1, per_rack=1)
         async with trio.open_nursery() as nursery:
@@ -116,14 +118,14 @@
 
 
 def test_an_unnamed_pool_takes_no_worker_out_of_a_named_one():
-    """A foreign announcement may carry the id of a healthy worker."""
+    """A worker of a pool that is not configured may use the id of another."""
 
     async def script(site):
         known = site.pool.workers["w0-0"].worker
-        stray = msgspec.structs.replace(known, pool="nobody's")
+        foreign = msgspec.structs.replace(known, pool="nobody's")
         with pytest.raises(errors.ConflictError):
             await site.intakes["vm2"].announce(
-                intakes.Announcement(stray, 9, None)
+                intakes.Announcement(foreign, 9, None)
             )
         assert site.ledger.workers["w0-0"] == known
         await site.submit(gang("j", 2), [1.0])
@@ -135,15 +137,17 @@
 
 
 def test_a_worker_of_an_unnamed_pool_blocks_no_address():
-    """A foreign worker that does not answer may claim any address."""
+    """A worker of a pool that is not configured may claim any address."""
 
     async def script(site):
         known = site.pool.workers["w0-0"].worker
-        stray = msgspec.structs.replace(
+        foreign = msgspec.structs.replace(
             known, pool="nobody's", worker_id="stray"
         )
         site.client.cut = {"stray"}
-        await site.intakes["vm2"].announce(intakes.Announcement(stray, 9, None))
+        await site.intakes["vm2"].announce(
+            intakes.Announcement(foreign, 9, None)
+        )
         assert "stray" in site.ledger.workers
         await site.submit(gang("j", 2), [1.0])
         await trio.sleep(1.5)
@@ -178,6 +182,7 @@
 
 
 def forget_ended(site):
+    """Deletes the records of all ended jobs and workers."""
     site.groups.machine.apply(commands.ForgetJobs(10**15))
 
 
@@ -246,7 +251,7 @@
 
 
 def test_a_worker_of_an_unnamed_pool_is_not_called():
-    """The address of a foreign worker may belong to any other service."""
+    """The address of such a worker may belong to anything else."""
     called = set()
 
     async def script(site):
@@ -258,11 +263,13 @@
 
         site.client.report = recorded_report
         known = site.pool.workers["w0-0"].worker
-        stray = msgspec.structs.replace(
+        foreign = msgspec.structs.replace(
             known, pool="nobody's", worker_id="stray", address="elsewhere"
         )
         site.add_worker("w0-1", 0)
-        await site.intakes["vm2"].announce(intakes.Announcement(stray, 1, None))
+        await site.intakes["vm2"].announce(
+            intakes.Announcement(foreign, 1, None)
+        )
         await trio.sleep(1.0)
         new_leader(site)
         await trio.sleep(2.0)
--- a/laburnumsill/batch/worker_book.py
+++ b/laburnumsill/batch/worker_book.py
@@ -9,7 +9,8 @@
 have some dozens of distinct amounts a day."""
 
 MAX_ABSENT_WORKERS = 1_000
-"""Maximum number of removed workers for which sequence numbers are kept.
+"""Maximum number of removed workers whose last recorded end, or whose last
+announcement, is kept.
 
 A worker that was removed as unreachable may return after a network partition.
 It may then report ends that were recorded before, and its announcements from
