--- a/laburnumsill/consensus/durable_files.py
+++ b/laburnumsill/consensus/durable_files.py
@@ -1,8 +1,9 @@
-"""Files that outlive a loss of power.
+"""Durable file operations.
 
-A write lasts once its file has been synced, a name once its folder has. What
-a file shows before that may be gone after a loss of power, also to a process
-that has only read it.
+A write is durable once its file has been synced, and a file name once its
+folder has been synced. Data that was written but not synced can be read from
+the operating system's cache, also after the writing process was killed, and
+may be gone after a power loss.
 """
 
 import contextlib
@@ -13,12 +14,12 @@
 from laburnumsill.consensus import store
 from laburnumsill.core import errors
 
-ASIDE_SUFFIX = ".new"
-"""Of files that are still being written; left by a crash, they are void."""
+TEMPORARY_SUFFIX = ".new"
+"""Suffix of files that are being written; one left by a crash is discarded."""
 
 
 def write_all(descriptor: int, raw: bytes, path: pathlib.Path) -> None:
-    """Writes all of `raw`.
+    """Writes all of `raw` to the open file at `path`.
 
     Raises:
         errors.StorageError: The disk is full or failed.
@@ -32,46 +33,50 @@
 
 
 def write_file(path: pathlib.Path, parts: abc.Iterable[bytes]) -> None:
-    """Makes a file appear under its name whole and synced, or not at all.
+    """Writes a file atomically: under a temporary name, synced, then renamed.
 
     Raises:
         errors.StorageError: The disk is full or failed.
     """
-    aside = path.with_name(path.name + ASIDE_SUFFIX)
+    temporary = path.with_name(path.name + TEMPORARY_SUFFIX)
     try:
-        _write_aside(aside, parts)
-        os.replace(aside, path)
+        _write_temporary(temporary, parts)
+        os.replace(temporary, path)
     except OSError as error:
-        _remove(aside)
-        raise store.storage_error(error, aside) from error
+        _remove(temporary)
+        raise store.storage_error(error, temporary) from error
     except store.DiskFullError:
-        _remove(aside)
+        _remove(temporary)
         raise
     sync_folder(path.parent)
 
 
-def _write_aside(aside: pathlib.Path, parts: abc.Iterable[bytes]) -> None:
-    descriptor = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
+def _write_temporary(
+    temporary: pathlib.Path, parts: abc.Iterable[bytes]
+) -> None:
+    descriptor = os.open(
+        temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600
+    )
     try:
         for part in parts:
-            write_all(descriptor, part, aside)
-        sync(descriptor, aside)
+            write_all(descriptor, part, temporary)
+        sync(descriptor, temporary)
     finally:
         os.close(descriptor)
 
 
-def _remove(aside: pathlib.Path) -> None:
-    """Frees the room of a file that was not finished, if that can be done."""
+def _remove(temporary: pathlib.Path) -> None:
+    """Removes an incomplete file to free its space; ignores errors."""
     with contextlib.suppress(OSError):
-        aside.unlink(missing_ok=True)
+        temporary.unlink(missing_ok=True)
 
 
 def sync(descriptor: int, path: pathlib.Path) -> None:
-    """Waits until the data of a file is on the disk.
+    """Syncs the data of an open file to the disk.
 
     Raises:
         store.DiskFullError: Delayed allocation found no space.
-        store.SyncFailedError: What the file holds is unknown now.
+        store.SyncFailedError: The content of the file on disk is unknown.
     """
     try:
         os.fdatasync(descriptor)
@@ -80,18 +85,18 @@
 
 
 def _sync_error(error: OSError, path: pathlib.Path) -> errors.StorageError:
-    typed = store.storage_error(error, path)
-    if isinstance(typed, store.DiskFullError):
-        return typed
-    return store.SyncFailedError(typed.detail)
+    failure = store.storage_error(error, path)
+    if isinstance(failure, store.DiskFullError):
+        return failure
+    return store.SyncFailedError(failure.detail)
 
 
-def cut(descriptor: int, size: int, path: pathlib.Path) -> None:
-    """Cuts an open file to `size` bytes and syncs it.
+def truncate_open(descriptor: int, size: int, path: pathlib.Path) -> None:
+    """Truncates an open file to `size` bytes and syncs it.
 
     Raises:
-        store.DiskFullError: There was no room even for that.
-        store.SyncFailedError: What the file holds is unknown now.
+        store.DiskFullError: The disk is too full to sync the truncation.
+        store.SyncFailedError: The content of the file on disk is unknown.
     """
     try:
         os.ftruncate(descriptor, size)
@@ -100,8 +105,11 @@
         raise _sync_error(error, path) from error
 
 
-def write_again(path: pathlib.Path, raw: bytes, offset: int) -> None:
-    """Writes what a file holds at `offset` once more, and syncs the file.
+def rewrite(path: pathlib.Path, raw: bytes, offset: int) -> None:
+    """Writes `raw` over the same bytes at `offset` and syncs the file.
+
+    After a failed sync the system may have marked pages clean that it did not
+    write; a later sync writes them only if they are written anew.
 
     Raises:
         errors.StorageError: The disk is full or failed.
@@ -113,20 +121,20 @@
 
 
 def truncate(path: pathlib.Path, size: int) -> None:
-    """Cuts a file to `size` bytes and syncs it.
+    """Truncates a file to `size` bytes and syncs it.
 
     Raises:
         errors.StorageError: The disk failed.
     """
     with _opened(path, os.O_WRONLY) as descriptor:
-        cut(descriptor, size, path)
+        truncate_open(descriptor, size, path)
 
 
 def make_folder(folder: pathlib.Path) -> None:
-    """Makes a folder and those above it that are missing, names synced.
+    """Creates a folder and its missing parents, and syncs their names.
 
-    The folder above and the one above that are synced even if they were
-    there: the process that made them may have been killed before it did.
+    The two nearest parents are synced even if they exist already: the process
+    that created the folders may have been killed before it synced them.
 
     Raises:
         errors.StorageError: The disk is full or failed.
@@ -136,13 +144,13 @@
         folder.mkdir(parents=True, exist_ok=True)
     except OSError as error:
         raise store.storage_error(error, folder) from error
-    unsure = (folder.parent, folder.parent.parent)
-    for parent in {*unsure, *(path.parent for path in missing)}:
+    nearest = (folder.parent, folder.parent.parent)
+    for parent in {*nearest, *(path.parent for path in missing)}:
         sync_folder(parent)
 
 
 def sync_folder(folder: pathlib.Path) -> None:
-    """Waits until the names in a folder are on the disk.
+    """Syncs the names in a folder to the disk.
 
     Raises:
         errors.StorageError: The disk failed.
@@ -156,10 +164,10 @@
 
 @contextlib.contextmanager
 def _opened(path: pathlib.Path, flags: int) -> abc.Iterator[int]:
-    """Yields the descriptor of a file or folder that is there.
+    """Yields a descriptor of an existing file or folder.
 
     Raises:
-        errors.StorageError: It cannot be opened.
+        errors.StorageError: The file or folder cannot be opened.
     """
     try:
         descriptor = os.open(path, flags)
--- a/laburnumsill/consensus/segments.py
+++ b/laburnumsill/consensus/segments.py
@@ -1,15 +1,17 @@
-"""The files of a log: records with checksums, in numbered segments.
-
-A file is an 8-byte magic with the format version, then records. A record is
-its length and checksum (CRC-32 of type and payload), both 32 bits big-endian,
-a type byte and the payload.
-
-A segment's first record names its group, incarnation and number and carries
-a random nonce. All that one sync covers is a batch, which starts with a record
-of the nonce and the batch's number. The start of the next batch is written as
-soon as a sync has ended, so a bad record with a readable batch start after it
-was synced and is damaged, while a bad record after the last batch start is a
-tail that was torn before its sync ended, and nothing rests on it.
+"""The record format of log segments and snapshot files.
+
+A file starts with an 8-byte prefix (magic and format version), followed by
+records. A record is its payload length and checksum (CRC-32 of type and
+payload), both 32 bits big-endian, then a type byte and the payload.
+
+The first record of a segment, its header, holds the group, the incarnation,
+the segment number and a random nonce. The records covered by one sync form a
+batch, which starts with a batch start record: the nonce and the number of the
+batch. The next batch start is written as soon as the sync has returned.
+
+A bad record before a readable batch start was therefore synced and is damaged.
+A bad record after the last batch start is a torn write whose sync did not
+complete; nothing depends on it, so it can be truncated.
 """
 
 import dataclasses
@@ -36,7 +38,7 @@
 
 
 class RecordType(enum.IntEnum):
-    """What a record holds."""
+    """Types of records; the numbers are part of the file format."""
 
     HEADER = 1
     BATCH = 2
@@ -48,12 +50,15 @@
 _KNOWN_TYPES = frozenset(RecordType)
 
 HEAD_RECORDS = 3
-"""Header, term and first batch start are synced before a segment is used."""
+"""Records at the start of a segment: header, hard state and batch start.
+
+They are synced before the segment is used.
+"""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SegmentHeader:
-    """The first record of a segment."""
+    """The payload of the first record of a segment."""
 
     group: str
     incarnation: str
@@ -63,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One record and where it starts in its file."""
+    """A record and the offset in its file at which it starts."""
 
     type: RecordType
     payload: bytes
@@ -71,24 +76,24 @@
 
 
 def prefix(magic: bytes) -> bytes:
-    """Returns the first bytes of a file."""
+    """Returns the first 8 bytes of a file: `magic` and the format version."""
     return _PREFIX.pack(magic, FORMAT_VERSION)
 
 
-def record(kind: RecordType, payload: bytes) -> bytes:
-    """Returns one record."""
+def encode_record(kind: RecordType, payload: bytes) -> bytes:
+    """Returns the bytes of a record, checksum included."""
     checksum = zlib.crc32(payload, zlib.crc32(bytes((kind,))))
     return _RECORD.pack(len(payload), checksum, kind) + payload
 
 
 def entry_record(entry: types.Entry) -> bytes:
-    """Returns the record of an entry of the log."""
+    """Returns the record of a log entry."""
     head = _ENTRY.pack(entry.index, entry.term, entry.kind)
-    return record(RecordType.ENTRY, head + entry.data)
+    return encode_record(RecordType.ENTRY, head + entry.data)
 
 
-def entry_of(payload: bytes) -> types.Entry:
-    """Returns the entry that `entry_record` encoded."""
+def decode_entry(payload: bytes) -> types.Entry:
+    """Returns the log entry in the payload of an `ENTRY` record."""
     index, term, kind = _ENTRY.unpack_from(payload)
     data = payload[_ENTRY.size :]
     return types.Entry(index, term, types.EntryKind(kind), data)
@@ -96,26 +101,32 @@
 
 def hard_state_record(hard_state: types.HardState) -> bytes:
     """Returns the record of a term and vote."""
-    return record(RecordType.HARD_STATE, msgspec.msgpack.encode(hard_state))
+    return encode_record(
+        RecordType.HARD_STATE, msgspec.msgpack.encode(hard_state)
+    )
 
 
-def hard_state_of(payload: bytes) -> types.HardState:
-    """Returns the term and vote that `hard_state_record` encoded."""
+def decode_hard_state(payload: bytes) -> types.HardState:
+    """Returns the term and vote in the payload of a `HARD_STATE` record."""
     return msgspec.msgpack.decode(payload, type=types.HardState)
 
 
-def batch_record(nonce: bytes, number: int) -> bytes:
-    """Returns the record that starts a batch."""
-    return record(RecordType.BATCH, _BATCH.pack(nonce, number))
+def batch_start_record(nonce: bytes, number: int) -> bytes:
+    """Returns the record that starts batch `number` of a segment."""
+    return encode_record(RecordType.BATCH, _BATCH.pack(nonce, number))
 
 
 def header_record(header: SegmentHeader) -> bytes:
     """Returns the first record of a segment."""
-    return record(RecordType.HEADER, msgspec.msgpack.encode(header))
+    return encode_record(RecordType.HEADER, msgspec.msgpack.encode(header))
 
 
-def record_at(raw: bytes, offset: int) -> Record | None:
-    """Returns the record that starts at `offset`, or None if it is bad."""
+def decode_record(raw: bytes, offset: int) -> Record | None:
+    """Returns the record at `offset`, or None.
+
+    None means that the record is torn, has an unknown type or does not match
+    its checksum.
+    """
     if offset + _RECORD.size > len(raw):
         return None
     length, checksum, kind = _RECORD.unpack_from(raw, offset)
@@ -130,19 +141,24 @@
     return Record(RecordType(kind), payload, offset)
 
 
-def end_of(found: Record) -> int:
-    """Returns the offset after a record."""
-    return found.offset + _RECORD.size + len(found.payload)
+def end_offset(record: Record) -> int:
+    """Returns the offset of the first byte after a record."""
+    return record.offset + _RECORD.size + len(record.payload)
 
 
-def records(
+def decode_records(
     raw: bytes, magic: bytes, path: pathlib.Path
 ) -> abc.Iterator[Record]:
-    """Yields the records of a file up to its end or the first bad one.
+    """Yields the records of a file up to its end or the first bad record.
+
+    Args:
+        raw: The content of the file.
+        magic: The expected magic.
+        path: The file, for error messages.
 
     Raises:
-        store.DamagedLogError: The file does not start as it should.
-        store.UnknownFormatError: Another version wrote it.
+        store.DamagedLogError: The file does not start with `magic`.
+        store.UnknownFormatError: The file has another format version.
     """
     if len(raw) < _PREFIX.size:
         raise store.DamagedLogError(f"{path}: {len(raw)} bytes, no prefix")
@@ -153,19 +169,25 @@
         raise store.UnknownFormatError(f"{path}: format version {version}")
     offset = _PREFIX.size
     while offset < len(raw):
-        found = record_at(raw, offset)
-        if found is None:
+        record = decode_record(raw, offset)
+        if record is None:
             return
-        yield found
-        offset = end_of(found)
+        yield record
+        offset = end_offset(record)
 
 
-def has_batch_after(raw: bytes, offset: int, nonce: bytes) -> bool:
-    """Returns whether a batch starts after a bad record at `offset`."""
-    place = raw.find(nonce, offset)
-    while place >= 0:
-        found = record_at(raw, place - _RECORD.size)
-        if found is not None and found.type is RecordType.BATCH:
+def has_batch_start_after(raw: bytes, offset: int, nonce: bytes) -> bool:
+    """Returns whether a batch start follows a bad record at `offset`.
+
+    Args:
+        raw: The content of the segment.
+        offset: Where the bad record starts.
+        nonce: The nonce of the segment.
+    """
+    position = raw.find(nonce, offset)
+    while position >= 0:
+        record = decode_record(raw, position - _RECORD.size)
+        if record is not None and record.type is RecordType.BATCH:
             return True
-        place = raw.find(nonce, place + 1)
+        position = raw.find(nonce, position + 1)
     return False
--- a/laburnumsill/consensus/snapshot_receiver.py
+++ b/laburnumsill/consensus/snapshot_receiver.py
@@ -1,11 +1,11 @@
-"""Putting together a snapshot that comes in chunks."""
+"""Assembles a snapshot that a leader sends in chunks."""
 
 from laburnumsill.consensus import types
 from laburnumsill.core import codec
 
 
 def membership_entry(snapshot: types.Snapshot) -> types.Entry:
-    """Returns the entry that carries a snapshot's membership in a message."""
+    """Returns the entry that holds a snapshot's membership in a message."""
     return types.Entry(
         snapshot.index,
         snapshot.term,
@@ -15,10 +15,10 @@
 
 
 class SnapshotReceiver:
-    """The chunks received so far of one snapshot from one leader.
+    """Collects the chunks of one snapshot from one leader.
 
-    Two leaders may encode the same state differently, so chunks of two
-    sources are never mixed.
+    Two leaders may encode the same state differently, so a chunk from another
+    leader, or of another snapshot, discards the chunks received before.
     """
 
     def __init__(self) -> None:
@@ -28,11 +28,14 @@
 
     @property
     def received(self) -> int:
-        """Number of bytes received, which is the next offset wanted."""
+        """Bytes received, which is the offset of the next chunk."""
         return len(self._data)
 
     def add(self, message: types.Message) -> types.Snapshot | None:
-        """Adds a chunk; returns the snapshot once it is whole."""
+        """Adds a chunk; returns the snapshot once it is complete.
+
+        A chunk at any other offset than the next one is ignored.
+        """
         key = (message.source, message.term, message.index, message.log_term)
         if key != self._key:
             self.clear()
@@ -44,17 +47,17 @@
         self._data += message.data
         if not message.last or self._membership is None:
             return None
-        whole = types.Snapshot(
+        snapshot = types.Snapshot(
             message.index,
             message.log_term,
             self._membership,
             bytes(self._data),
         )
         self.clear()
-        return whole
+        return snapshot
 
     def clear(self) -> None:
-        """Forgets all chunks."""
+        """Discards all chunks."""
         self._key = None
         self._data = bytearray()
         self._membership = None
--- a/laburnumsill/consensus/snapshots.py
+++ b/laburnumsill/consensus/snapshots.py
@@ -1,8 +1,9 @@
-"""The snapshot files: written aside, synced, renamed, their folder synced.
+"""Reads and writes the snapshot files of a replica.
 
-Each has a name of its own, with its index, and the one before goes only when
-the new name is durable. Nothing rests on renames that are atomic across a loss
-of power.
+A snapshot is written under a temporary name, synced and renamed, and then its
+folder is synced. The file name contains the snapshot's index, and the older
+snapshot is removed only when the new name is durable, so a rename need not be
+atomic across a power loss.
 """
 
 import dataclasses
@@ -24,12 +25,13 @@
     """The first record of a snapshot file.
 
     Attributes:
-        group: The group it belongs to.
-        incarnation: The replica that wrote it.
-        index: Last index that it stands for.
+        group: The group of the replica.
+        incarnation: Incarnation of the replica that wrote the snapshot.
+        index: Last log index that the snapshot covers.
         term: Term of the entry at `index`.
-        membership: The make-up of the group at `index`.
-        log_from: First segment that still counts; older ones are void.
+        membership: Membership of the group at `index`.
+        log_from: Number of the first segment to replay; older segments are
+            obsolete.
     """
 
     group: str
@@ -41,18 +43,18 @@
 
 
 def write(folder: pathlib.Path, header: SnapshotHeader, data: bytes) -> None:
-    """Writes a snapshot to `folder`, then removes those before it.
+    """Writes a snapshot to `folder`, then removes older snapshots.
 
     Raises:
         errors.StorageError: The disk is full or failed.
     """
-    raw = segments.prefix(segments.SNAPSHOT_MAGIC) + segments.record(
+    head = segments.prefix(segments.SNAPSHOT_MAGIC) + segments.encode_record(
         segments.RecordType.HEADER, msgspec.msgpack.encode(header)
     )
-    body = segments.record(segments.RecordType.SNAPSHOT_DATA, data)
+    body = segments.encode_record(segments.RecordType.SNAPSHOT_DATA, data)
     path = folder / f"snapshot-{header.index:020d}"
-    durable_files.write_file(path, (raw, body))
-    _remove_before(path)
+    durable_files.write_file(path, (head, body))
+    _remove_older(path)
 
 
 def read(
@@ -60,36 +62,37 @@
 ) -> tuple[SnapshotHeader, types.Snapshot] | None:
     """Returns the newest snapshot in `folder`, or None if there is none.
 
-    Those before it are removed. The names in the folder have to be durable.
+    Older snapshots are removed. The caller must have synced the folder.
 
     Raises:
         store.DamagedLogError: The snapshot does not match its checksums.
-        store.UnknownFormatError: Another version wrote it.
+        store.UnknownFormatError: The snapshot has another format version.
     """
     paths = _paths(folder)
     if not paths:
         return None
     path = paths[-1]
     raw = path.read_bytes()
-    found = list(segments.records(raw, segments.SNAPSHOT_MAGIC, path))
-    kinds = [part.type for part in found]
-    wanted = [segments.RecordType.HEADER, segments.RecordType.SNAPSHOT_DATA]
-    if kinds != wanted or segments.end_of(found[-1]) != len(raw):
+    records = list(segments.decode_records(raw, segments.SNAPSHOT_MAGIC, path))
+    kinds = [record.type for record in records]
+    expected = [segments.RecordType.HEADER, segments.RecordType.SNAPSHOT_DATA]
+    if kinds != expected or segments.end_offset(records[-1]) != len(raw):
         raise store.DamagedLogError(f"{path}: records {kinds!r}")
-    header = msgspec.msgpack.decode(found[0].payload, type=SnapshotHeader)
+    header = msgspec.msgpack.decode(records[0].payload, type=SnapshotHeader)
     snapshot = types.Snapshot(
-        header.index, header.term, header.membership, found[1].payload
+        header.index, header.term, header.membership, records[1].payload
     )
-    _remove_before(path)
+    _remove_older(path)
     return header, snapshot
 
 
 def _paths(folder: pathlib.Path) -> list[pathlib.Path]:
-    """Returns the snapshots in a folder, the newest last."""
+    """Returns the snapshot files in a folder, the newest last."""
     return sorted(p for p in folder.iterdir() if _NAME.fullmatch(p.name))
 
 
-def _remove_before(path: pathlib.Path) -> None:
+def _remove_older(path: pathlib.Path) -> None:
+    """Removes the snapshots that are older than the one at `path`."""
     for older in _paths(path.parent):
         if older < path:
             older.unlink()
--- a/laburnumsill/consensus/store.py
+++ b/laburnumsill/consensus/store.py
@@ -1,7 +1,7 @@
-"""What a replica keeps: term, vote, log and snapshot, on a disk or not.
+"""The store of a replica: its term, vote, log and snapshot.
 
-The host hands a store the changes of the engine's outputs in their order and
-sends nothing that promises them before `commit` has returned.
+The host commits the changes of the engine's outputs in order. It sends the
+messages that depend on a change only after `commit` has returned.
 """
 
 import abc
@@ -22,7 +22,7 @@
 
 
 class UnknownFormatError(errors.StorageError):
-    """A stored file has a format version that this program lacks."""
+    """A stored file has a format version that this program cannot read."""
 
     slug = "unknown-log-format"
     title = "The stored log has another format version"
@@ -36,35 +36,43 @@
 
 
 class SyncFailedError(errors.StorageError):
-    """The operating system could not sync a file; its content is unknown."""
+    """An fsync failed; the content of the file on disk is unknown."""
 
     slug = "sync-failed"
     title = "A sync failed"
 
 
 class StoreIoError(errors.StorageError):
-    """Another failure of the disk."""
+    """An I/O error other than a full disk or a failed sync."""
 
     slug = "store-io"
     title = "The disk failed"
 
 
 class StoreClosedError(errors.StorageError):
-    """The store failed before, or was closed, and takes nothing more."""
+    """The store is closed, or has failed, and accepts no more commits."""
 
     slug = "store-closed"
     title = "The store is closed"
 
 
 RETRY_S = 0.5
-"""Pause between tries to write to a full disk, in seconds: a replica has to
-take part again within 2 s of there being room, and a try takes one sync."""
+"""Interval between attempts to write to a full disk.
+
+A replica has to take part again within 2 s after space becomes free, and an
+attempt costs one sync.
+"""
 
 _FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT})
 
 
 def storage_error(error: OSError, where: object) -> errors.StorageError:
-    """Returns the typed form of an error of the operating system."""
+    """Returns the storage error for an error of the operating system.
+
+    Args:
+        error: The operating system's error.
+        where: The file or folder, for the detail text.
+    """
     detail = f"{where}: {error.strerror or error!r}"
     if error.errno in _FULL_ERRNOS:
         return DiskFullError(detail)
@@ -73,16 +81,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One step of what is to be kept, in the order of an `Output`.
+    """A change to the stored state; its fields are applied in their order.
 
     Attributes:
-        hard_state: A new term or vote, or None.
-        snapshot: A snapshot that stands for the log up to its index, or None.
-        keep_tail: Whether the entries after the snapshot stay; they do when
-            it was taken here, and go when it came from a leader whose log
-            this replica did not match.
-        entries: Entries to append; one at or below the last index replaces
-            that one and all after it.
+        hard_state: The new term and vote, or None.
+        snapshot: A snapshot that replaces the log up to its index, or None.
+        keep_tail: Whether to keep the entries after the snapshot. True for a
+            snapshot taken by this replica; False for one installed by a
+            leader whose log does not match this replica's.
+        entries: Entries to append. An entry at or below the last index
+            replaces the entry at its index and truncates all after it.
     """
 
     hard_state: types.HardState | None = None
@@ -92,7 +100,10 @@
 
     @property
     def may_be_left_out(self) -> bool:
-        """Whether it is a snapshot taken here, and the log holds as much."""
+        """True if the change is only a snapshot taken by this replica.
+
+        The log still holds the entries that such a snapshot covers.
+        """
         return (
             self.snapshot is not None
             and self.keep_tail
@@ -102,7 +113,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is to be kept."""
+        """True if the change stores nothing."""
         return (
             self.hard_state is None
             and self.snapshot is None
@@ -113,10 +124,11 @@
 def batches(
     changes: collections_abc.Sequence[Change],
 ) -> collections_abc.Iterator[list[Change]]:
-    """Yields `changes` in order, those with a snapshot alone.
+    """Yields `changes` in batches to commit; a snapshot is a batch of its own.
 
-    So what is committed again after a full disk never brings entries back
-    from before a snapshot that was kept.
+    A batch is committed again after a full disk. Without a snapshot among its
+    changes, the repeated commit cannot append entries that a stored snapshot
+    already covers.
 
     Examples:
         >>> entries = Change(entries=(
@@ -140,43 +152,43 @@
 
 
 class ReplicaStore(abc.ABC):
-    """Keeps the state of one replica of one group."""
+    """Stores the state of one replica of one group."""
 
     @property
     @abc.abstractmethod
     def stored(self) -> types.Stored:
-        """What was found when the store was opened."""
+        """The state that was read when the store was opened."""
 
     @property
     @abc.abstractmethod
     def with_disk(self) -> bool:
-        """Whether `commit` syncs to a disk, and so must not block the loop."""
+        """True if `commit` syncs to a disk and so needs a worker thread."""
 
     @property
     @abc.abstractmethod
     def log_bytes(self) -> int:
-        """The size of the log since the last snapshot, in bytes."""
+        """Size of the log since the last snapshot, in bytes."""
 
     @abc.abstractmethod
     def commit(self, changes: collections_abc.Sequence[Change]) -> None:
-        """Keeps `changes` in their order, with one sync where it can.
+        """Stores `changes` durably in their order, with one sync if possible.
 
-        Calls never overlap; with a disk it runs in a worker thread.
+        Calls must not overlap. With a disk, the call runs in a worker thread.
 
         Raises:
-            DiskFullError: Some or none of `changes` are kept. Once there is
-                room the same changes may be committed again, before others;
-                a snapshot that was taken here may be left out.
-            errors.StorageError: The disk failed; the process must not go on.
+            DiskFullError: Some or none of `changes` are stored. Once there is
+                space, the same changes may be committed again, before any
+                others; a snapshot taken by this replica may be skipped.
+            errors.StorageError: The disk failed; the process must exit.
         """
 
     @abc.abstractmethod
     def close(self) -> None:
-        """Ends the use of the store; what was committed stays."""
+        """Closes the store; committed changes stay stored."""
 
 
 def is_fresh(stored: types.Stored) -> bool:
-    """Returns whether a store holds nothing but its incarnation."""
+    """Returns whether a store holds no state besides its incarnation."""
     return (
         stored.hard_state == types.HardState()
         and stored.snapshot is None
@@ -187,7 +199,7 @@
 class MemoryStore(ReplicaStore):
     """The store of a VM without a disk; each start is a new incarnation.
 
-    The engine holds the log, so nothing is kept here but its size.
+    The engine holds the log in memory, so this store only counts its size.
 
     Examples:
         >>> store = MemoryStore()
@@ -201,21 +213,21 @@
 
     @property
     def stored(self) -> types.Stored:
-        """An empty state under a new incarnation."""
+        """The empty state of a new incarnation."""
         return self._stored
 
     @property
     def with_disk(self) -> bool:
-        """False."""
+        """False: `commit` neither syncs nor blocks."""
         return False
 
     @property
     def log_bytes(self) -> int:
-        """The bytes of data appended since the last snapshot."""
+        """Bytes of entry data appended since the last snapshot."""
         return self._log_bytes
 
     def commit(self, changes: collections_abc.Sequence[Change]) -> None:
-        """Counts the bytes of the log."""
+        """Adds the entry data of `changes` to the size of the log."""
         for change in changes:
             if change.snapshot is not None:
                 self._log_bytes = 0
--- a/laburnumsill/consensus/store_replay.py
+++ b/laburnumsill/consensus/store_replay.py
@@ -1,4 +1,4 @@
-"""Reading a replica's folder back after a start."""
+"""Replays the folder of a replica: its snapshot and log segments."""
 
 import dataclasses
 import pathlib
@@ -17,22 +17,23 @@
 
 
 def segment_path(folder: pathlib.Path, number: int) -> pathlib.Path:
-    """Returns the file of a segment."""
+    """Returns the path of a segment."""
     return folder / f"log-{number:012d}"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class FoundSegment:
-    """A readable segment.
+class ReplayedSegment:
+    """A segment that was read.
 
     Attributes:
-        number: Its place in the log.
-        path: Its file.
-        first_index: Index of its first entry, 0 if it has none.
-        last_index: The highest index in it, 0 if it has no entry.
-        size: Bytes that count.
-        unsynced: Entries after its last batch start. No sync of theirs is
-            known to have ended, so the file may hold them and the disk not.
+        number: Segment number; the log is in the order of these numbers.
+        path: The segment's file.
+        first_index: Index of the first entry, 0 if there is none.
+        last_index: Highest index of an entry, 0 if there is none.
+        size: Bytes up to the end of the last valid record.
+        unsynced_entries: Number of entries after the last batch start. Their
+            sync may not have completed before this start, so that only the
+            operating system's cache held them.
     """
 
     number: int
@@ -40,84 +41,92 @@
     first_index: int
     last_index: int
     size: int
-    unsynced: int
+    unsynced_entries: int
 
     def __str__(self) -> str:
-        """Returns its number and entries, such as ``2:390-412``."""
+        """Returns the number and the range of entries, as ``2:390-412``."""
         return f"{self.number}:{self.first_index}-{self.last_index}"
 
 
 @dataclasses.dataclass(slots=True)
-class Found:
-    """What a folder holds.
+class ReplayResult:
+    """The state that was read from a folder.
 
     Attributes:
-        incarnation: Who wrote it, or empty in a new folder.
+        incarnation: Incarnation that wrote the folder, empty if it is new.
         hard_state: The last term and vote.
-        snapshot: The snapshot, or None.
-        entries: The entries after the snapshot.
-        segments: The segments that still count.
-        next_number: A segment number that was never used.
+        snapshot: The newest snapshot, or None.
+        entries: The log entries after the snapshot.
+        segments: The segments from the snapshot's `log_from` on, in order.
+        next_number: An unused segment number, above all existing ones.
     """
 
     incarnation: str = ""
     hard_state: types.HardState = types.HardState()
     snapshot: types.Snapshot | None = None
     entries: tuple[types.Entry, ...] = ()
-    segments: list[FoundSegment] = dataclasses.field(default_factory=list)
+    segments: list[ReplayedSegment] = dataclasses.field(default_factory=list)
     next_number: int = 1
 
 
-def replay(folder: pathlib.Path, group: str) -> Found:
-    """Returns what `folder` holds, with a torn tail cut off.
+def replay(folder: pathlib.Path, group: str) -> ReplayResult:
+    """Reads the stored state of a replica and truncates a torn tail.
+
+    Obsolete segments and temporary files are removed.
+
+    Args:
+        folder: The folder of the replica.
+        group: The group that the files must belong to.
 
     Raises:
-        store.DamagedLogError: Something before the tail can not be trusted.
-        store.UnknownFormatError: Another version wrote it.
+        store.DamagedLogError: The files are damaged or incomplete elsewhere
+            than in a torn tail, or belong to another replica.
+        store.UnknownFormatError: A file has another format version.
     """
     return _Replay(folder, group).run()
 
 
 class _Replay:
-    """One reading of a folder."""
+    """The state of one replay of a folder."""
 
     def __init__(self, folder: pathlib.Path, group: str) -> None:
         self._folder = folder
         self._group = group
-        self._found = Found()
+        self._result = ReplayResult()
         self._log: list[types.Entry] = []
 
-    def run(self) -> Found:
+    def run(self) -> ReplayResult:
         """Reads the snapshot, then the segments in order."""
-        # A snapshot's name may be younger than the last sync of the folder;
-        # the segments that it replaces must not go before it is durable.
+        # The rename of a snapshot may not be synced yet, and it must be
+        # durable before the segments that the snapshot replaces are removed.
         durable_files.sync_folder(self._folder)
-        for path in self._folder.glob(f"*{durable_files.ASIDE_SUFFIX}"):
+        for path in self._folder.glob(f"*{durable_files.TEMPORARY_SUFFIX}"):
             path.unlink()
         log_from = self._read_snapshot()
-        numbers = self._numbers()
+        numbers = self._segment_numbers()
         if numbers:
-            self._found.next_number = numbers[-1] + 1
-        counting = [number for number in numbers if number >= log_from]
+            self._result.next_number = numbers[-1] + 1
+        live = [number for number in numbers if number >= log_from]
         for number in numbers:
             if number < log_from:
                 segment_path(self._folder, number).unlink()
-        self._check_numbers(counting, log_from)
-        for number in counting:
-            self._read_segment(number, number == counting[-1])
-        self._found.entries = self._after_snapshot()
-        return self._found
+        self._check_numbers(live, log_from)
+        for number in live:
+            self._read_segment(number, number == live[-1])
+        self._result.entries = self._entries_after_snapshot()
+        return self._result
 
     def _read_snapshot(self) -> int:
+        """Reads the snapshot; returns the first segment number to replay."""
         read = snapshots.read(self._folder)
         if read is None:
             return 1
         header, snapshot = read
         self._check_owner(header.group, header.incarnation, self._folder)
-        self._found.snapshot = snapshot
+        self._result.snapshot = snapshot
         return header.log_from
 
-    def _numbers(self) -> list[int]:
+    def _segment_numbers(self) -> list[int]:
         matches = map(
             _SEGMENT_NAME.fullmatch,
             (path.name for path in self._folder.iterdir()),
@@ -125,24 +134,26 @@
         return sorted(int(match[1]) for match in matches if match)
 
     def _check_numbers(self, numbers: list[int], log_from: int) -> None:
-        if not numbers and self._found.snapshot is None:
+        """Checks that no segment from `log_from` on is missing."""
+        if not numbers and self._result.snapshot is None:
             return
-        wanted = list(range(log_from, log_from + max(1, len(numbers))))
-        if numbers != wanted:
+        expected = list(range(log_from, log_from + max(1, len(numbers))))
+        if numbers != expected:
             raise store.DamagedLogError(
-                f"{self._folder}: segments {numbers}, wanted {wanted}"
+                f"{self._folder}: segments {numbers}, expected {expected}"
             )
 
     def _check_owner(
         self, group: str, incarnation: str, path: pathlib.Path
     ) -> None:
-        known = self._found.incarnation or incarnation
+        """Checks that a file belongs to this group and one incarnation."""
+        known = self._result.incarnation or incarnation
         if group != self._group or incarnation != known:
             raise store.DamagedLogError(
-                f"{path}: of {group!r} {incarnation!r},"
-                f" wanted {self._group!r} {known!r}"
+                f"{path}: belongs to {group!r} {incarnation!r},"
+                f" expected {self._group!r} {known!r}"
             )
-        self._found.incarnation = incarnation
+        self._result.incarnation = incarnation
 
     def _read_segment(self, number: int, is_last: bool) -> None:
         path = segment_path(self._folder, number)
@@ -150,56 +161,63 @@
         content = self._read_records(raw, number, path)
         if content.records < segments.HEAD_RECORDS:
             raise store.DamagedLogError(
-                f"{path}: {content.records} head records"
+                f"{path}: segment head has {content.records} valid records"
             )
         if content.end < len(raw):
-            self._cut_tail(path, raw, content.end, content.nonce, is_last)
+            self._truncate_tail(path, raw, content.end, content.nonce, is_last)
         if is_last:
-            # Its writer may have been killed between a write and the sync:
-            # only the operating system's cache holds such a tail, and a
-            # loss of power would take what a restart had relied on. A sync
-            # that found no room may have given it up, so it is written again.
+            # The previous process may have been killed between a write and
+            # its sync. Only the operating system's cache holds such a batch,
+            # and a power loss would remove entries that this start has
+            # reported as stored. It is rewritten, not only synced, because a
+            # sync that failed on a full disk may have marked its pages clean
+            # without writing them.
             start = content.last_batch
-            durable_files.write_again(path, raw[start : content.end], start)
-        self._found.segments.append(content.summary(number, path))
+            durable_files.rewrite(path, raw[start : content.end], start)
+        self._result.segments.append(content.summary(number, path))
 
     def _read_records(
         self, raw: bytes, number: int, path: pathlib.Path
-    ) -> "_Content":
-        """Takes the records of a segment up to its end or the first bad one."""
-        content = _Content()
-        for part in segments.records(raw, segments.SEGMENT_MAGIC, path):
+    ) -> "_SegmentContent":
+        """Applies the records of a segment up to its end or a bad record."""
+        content = _SegmentContent()
+        for record in segments.decode_records(
+            raw, segments.SEGMENT_MAGIC, path
+        ):
             if not content.nonce:
-                content.nonce = self._read_header(part, number, path)
-            elif part.type is segments.RecordType.HARD_STATE:
-                state = segments.hard_state_of(part.payload)
-                self._found.hard_state = state
-            elif part.type is segments.RecordType.ENTRY:
-                entry = segments.entry_of(part.payload)
-                content.indices.append(entry.index)
-                self._take(entry, path)
-            elif part.type is segments.RecordType.BATCH:
-                content.synced = len(content.indices)
-                content.last_batch = part.offset
-            content.end = segments.end_of(part)
+                content.nonce = self._read_header(record, number, path)
+            elif record.type is segments.RecordType.HARD_STATE:
+                state = segments.decode_hard_state(record.payload)
+                self._result.hard_state = state
+            elif record.type is segments.RecordType.ENTRY:
+                entry = segments.decode_entry(record.payload)
+                content.entry_indexes.append(entry.index)
+                self._append(entry, path)
+            elif record.type is segments.RecordType.BATCH:
+                content.synced_entries = len(content.entry_indexes)
+                content.last_batch = record.offset
+            content.end = segments.end_offset(record)
             content.records += 1
         return content
 
     def _read_header(
-        self, part: segments.Record, number: int, path: pathlib.Path
+        self, record: segments.Record, number: int, path: pathlib.Path
     ) -> bytes:
-        if part.type is not segments.RecordType.HEADER:
+        """Checks the header of segment `number`; returns its nonce."""
+        if record.type is not segments.RecordType.HEADER:
             raise store.DamagedLogError(f"{path}: no header")
         header = msgspec.msgpack.decode(
-            part.payload, type=segments.SegmentHeader
+            record.payload, type=segments.SegmentHeader
         )
         self._check_owner(header.group, header.incarnation, path)
         if header.number != number:
-            raise store.DamagedLogError(f"{path}: is segment {header.number}")
+            raise store.DamagedLogError(
+                f"{path}: header has segment number {header.number}"
+            )
         return header.nonce
 
-    def _take(self, entry: types.Entry, path: pathlib.Path) -> None:
-        """Appends an entry, which voids those at and after its index."""
+    def _append(self, entry: types.Entry, path: pathlib.Path) -> None:
+        """Truncates the log from the entry's index on and appends the entry."""
         if not self._log or entry.index <= self._log[0].index:
             self._log = [entry]
             return
@@ -211,7 +229,7 @@
         del self._log[kept:]
         self._log.append(entry)
 
-    def _cut_tail(
+    def _truncate_tail(
         self,
         path: pathlib.Path,
         raw: bytes,
@@ -219,8 +237,13 @@
         nonce: bytes,
         is_last: bool,
     ) -> None:
-        if not is_last or segments.has_batch_after(raw, end, nonce):
-            raise store.DamagedLogError(f"{path}: bad record at {end}")
+        """Truncates a torn tail that starts at offset `end`.
+
+        Raises:
+            store.DamagedLogError: The bad record at `end` was synced before.
+        """
+        if not is_last or segments.has_batch_start_after(raw, end, nonce):
+            raise store.DamagedLogError(f"{path}: bad record at offset {end}")
         logs.event(
             "torn-tail-cut",
             level="WARNING",
@@ -231,8 +254,8 @@
         )
         durable_files.truncate(path, end)
 
-    def _after_snapshot(self) -> tuple[types.Entry, ...]:
-        covered = self._found.snapshot.index if self._found.snapshot else 0
+    def _entries_after_snapshot(self) -> tuple[types.Entry, ...]:
+        covered = self._result.snapshot.index if self._result.snapshot else 0
         entries = tuple(e for e in self._log if e.index > covered)
         if entries and entries[0].index != covered + 1:
             raise store.DamagedLogError(
@@ -243,32 +266,32 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Content:
-    """What was read of a segment.
+class _SegmentContent:
+    """The valid records of a segment, up to its end or the first bad record.
 
     Attributes:
-        nonce: From its header.
-        records: How many could be read.
-        end: The offset after the last of them.
-        last_batch: The offset of the last batch start.
-        indices: Those of the entries, in the order of the file.
-        synced: How many of these come before the last batch start.
+        nonce: The nonce in the header.
+        records: Number of valid records.
+        end: Offset of the first byte after the last valid record.
+        last_batch: Offset of the last batch start.
+        entry_indexes: Indexes of the entries, in the order of the file.
+        synced_entries: Number of entries before the last batch start.
     """
 
     nonce: bytes = b""
     records: int = 0
     end: int = 0
     last_batch: int = 0
-    indices: list[int] = dataclasses.field(default_factory=list)
-    synced: int = 0
+    entry_indexes: list[int] = dataclasses.field(default_factory=list)
+    synced_entries: int = 0
 
-    def summary(self, number: int, path: pathlib.Path) -> FoundSegment:
-        """Returns what is told of the segment."""
-        return FoundSegment(
+    def summary(self, number: int, path: pathlib.Path) -> ReplayedSegment:
+        """Returns the description of the segment in the replay result."""
+        return ReplayedSegment(
             number,
             path,
-            self.indices[0] if self.indices else 0,
-            max(self.indices, default=0),
+            self.entry_indexes[0] if self.entry_indexes else 0,
+            max(self.entry_indexes, default=0),
             self.end,
-            len(self.indices) - self.synced,
+            len(self.entry_indexes) - self.synced_entries,
         )
