--- a/laburnumsill/consensus/tests/simulated_disk.py
+++ b/laburnumsill/consensus/tests/simulated_disk.py
@@ -1,16 +1,17 @@
-"""A disk that forgets what was not synced when its power is lost.
-
-Files live in a real folder, which plays the part of the operating system's
-cache: a process that is killed finds everything there again. Beside it stands
-what the disk holds: the content of each file at its last sync, and the names
-of each folder at its last sync. A loss of power makes the folder show that; of
-the later writes each is there, missing or torn, whatever became of those before
-it, and of the names each is the old or the new one.
-
-A process that is killed in a write leaves half of its bytes. A disk that is
-full refuses what changes it: a write leaves half of its bytes too, and a sync
-gives up what it could not write, as one that fails does. The cache shows that
-still, and no later sync writes it, unless it is written anew.
+"""A simulated disk that loses unsynced data at a power loss.
+
+Files live in a real folder, which stands for the operating system's cache: it
+keeps everything when a process is killed. The simulated disk holds the content
+of each file at the file's last sync and the names in each folder at the
+folder's last sync. A power loss resets the folder to that state. Each write
+after the last sync is then present, missing or torn, independently of the
+others, and each name is either the synced one or the newest one.
+
+A process that is killed during a write leaves half of its bytes. On a full
+disk, calls that change the disk fail: a write leaves half of its bytes, and a
+sync drops the pages it could not write, as does a sync that fails with an I/O
+error. Dropped pages can still be read from the cache, but a later sync does not
+write them unless they are written again.
 """
 
 import contextlib
@@ -26,16 +27,16 @@
 
 import pytest
 
-KEPT_SHARES = (0.0, 0.5, 1.0)
-"""Of a write after a sync: missing, torn or present."""
+SURVIVING_SHARES = (0.0, 0.5, 1.0)
+"""Share of an unsynced write that survives: missing, torn or present."""
 
-ALL_MISSING = 0.3
-"""How often all writes after the syncs are gone."""
+ALL_LOST_PROBABILITY = 0.3
+"""Probability that a file loses all of its unsynced writes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Write:
-    """A write that no sync has covered."""
+    """A write that has not been synced."""
 
     offset: int
     raw: bytes
@@ -43,7 +44,7 @@
 
 @contextlib.contextmanager
 def simulated() -> abc.Iterator["SimulatedDisk"]:
-    """Yields a disk below an empty folder; both are gone afterwards."""
+    """Yields a simulated disk with an empty root folder, removed afterwards."""
     with (
         tempfile.TemporaryDirectory() as name,
         pytest.MonkeyPatch.context() as patches,
@@ -57,279 +58,291 @@
 
 
 class ProcessKilled(BaseException):
-    """Ends a process in the middle of what it does."""
+    """Raised by a system call to simulate the kill of the process."""
 
 
 class SimulatedDisk:
-    """The disk below one folder.
+    """A simulated disk that holds one folder.
 
     Args:
         root: The folder, which exists and is empty.
-        lost: Another one, for folders whose names are lost.
-        monkeypatch: Takes the place of the system calls.
+        lost_folders: Folder to which subfolders are moved when a power loss
+            removes their names.
+        monkeypatch: Replaces the system calls.
 
     Attributes:
         root: The folder.
-        atomic_renames: Whether a name that was given to another file shows
-            the old file or the new one after a loss of power. Otherwise it
-            may be gone, too.
+        atomic_renames: Whether a renamed or replaced name refers to the old or
+            the new file after a power loss. If false, the name may also be
+            missing.
     """
 
     def __init__(
         self,
         root: pathlib.Path,
-        lost: pathlib.Path,
+        lost_folders: pathlib.Path,
         monkeypatch: pytest.MonkeyPatch,
     ) -> None:
         self.root = root
         self.atomic_renames = True
-        self._lost = lost
-        self._calls_left: int | None = None
-        self._full_after: int | None = None
-        self._syncs_fail = False
-        self._given_up: dict[int, tuple[int, int]] = {}
-        self._writes: dict[int, list[_Write]] = {}
-        self._synced: dict[int, bytes] = {}
-        self._names: dict[pathlib.Path, dict[str, int]] = {root: {}}
-        self._open: dict[int, int] = {}
+        self._lost_folders = lost_folders
+        self._calls_until_kill: int | None = None
+        self._calls_until_full: int | None = None
+        self._next_sync_fails = False
+        self._dropped: dict[int, tuple[int, int]] = {}
+        self._unsynced_writes: dict[int, list[_Write]] = {}
+        self._synced_content: dict[int, bytes] = {}
+        self._synced_names: dict[pathlib.Path, dict[str, int]] = {root: {}}
+        self._descriptors: dict[int, int] = {}
         self._real_sync = os.fsync
         self._real_open = os.open
         self._real_write = os.write
         for name in ("replace", "rename", "unlink", "mkdir"):
-            self._count(monkeypatch, name)
-        self._count(monkeypatch, "write", self._before_write)
-        self._count(monkeypatch, "ftruncate", self._before_cut)
+            self._intercept(monkeypatch, name)
+        self._intercept(monkeypatch, "write", self._before_write)
+        self._intercept(monkeypatch, "ftruncate", self._before_truncate)
         monkeypatch.setattr(os, "fsync", self._sync)
         monkeypatch.setattr(os, "fdatasync", self._sync)
 
     def kill_after(self, calls: int) -> None:
-        """Kills the process at the call after so many to the system."""
-        self._calls_left = calls
+        """Kills the process at the system call after the next `calls`."""
+        self._calls_until_kill = calls
 
     def fill_after(self, calls: int) -> None:
-        """Takes nothing from the call after so many on."""
-        self._full_after = calls
+        """Makes the disk full after the next `calls` changing calls."""
+        self._calls_until_full = calls
 
-    def make_room(self) -> None:
-        """Takes everything again."""
-        self._full_after = None
+    def free_space(self) -> None:
+        """Frees space, so that calls on a full disk succeed again."""
+        self._calls_until_full = None
 
     def fail_next_sync(self) -> None:
-        """Has the next sync of a file fail with an error of the disk."""
-        self._syncs_fail = True
+        """Makes the next sync of a file fail with an I/O error."""
+        self._next_sync_fails = True
 
     def restart(self) -> None:
-        """Lets the next process work undisturbed."""
-        self._calls_left = None
+        """Cancels a pending kill, for the next process."""
+        self._calls_until_kill = None
 
     def close(self) -> None:
-        """Closes the files that are kept open."""
-        for descriptor in self._open.values():
+        """Closes the descriptors of the tracked files."""
+        for descriptor in self._descriptors.values():
             os.close(descriptor)
-        self._open = {}
+        self._descriptors = {}
 
-    def lose_power(self, source: random.Random) -> None:
-        """Shows what the disk holds after a loss of power."""
+    def lose_power(self, rng: random.Random) -> None:
+        """Resets the folder to a random state possible after a power loss.
+
+        The disk stays full if it was full.
+        """
         self.restart()
-        full_after, self._full_after = self._full_after, None
+        calls_until_full, self._calls_until_full = self._calls_until_full, None
         folders = self._folders()
         contents = {
-            inode: self._after_loss(inode, source)
+            inode: self._content_after_loss(inode, rng)
             for inode in self._inodes(folders)
         }
         for folder in sorted(folders, key=lambda path: len(path.parts)):
             if folder.exists():
-                self._restore(folder, contents, source)
-        self._forget()
-        self._full_after = full_after
+                self._restore_names(folder, contents, rng)
+        self._reset()
+        self._calls_until_full = calls_until_full
 
-    def _count(
+    def _intercept(
         self,
         monkeypatch: pytest.MonkeyPatch,
         name: str,
-        before: abc.Callable[..., None] = lambda *_: None,
+        hook: abc.Callable[..., None] = lambda *_: None,
     ) -> None:
         real = getattr(os, name)
 
-        def counted(*args, **kwargs):
-            self._note_names()
-            if name == "write" and self._calls_left == 0:
+        def intercepted(*args, **kwargs):
+            self._track_files()
+            if name == "write" and self._calls_until_kill == 0:
                 self._write_half(*args)
-            self._pass_call()
-            before(*args)
+            self._count_call()
+            hook(*args)
             self._refuse_if_full()
             return real(*args, **kwargs)
 
-        monkeypatch.setattr(os, name, counted)
+        monkeypatch.setattr(os, name, intercepted)
 
-    def _pass_call(self) -> None:
-        if self._calls_left is None:
+    def _count_call(self) -> None:
+        if self._calls_until_kill is None:
             return
-        if self._calls_left == 0:
+        if self._calls_until_kill == 0:
             raise ProcessKilled
-        self._calls_left -= 1
+        self._calls_until_kill -= 1
 
     @property
     def _is_full(self) -> bool:
-        return self._full_after == 0
+        return self._calls_until_full == 0
 
     def _refuse_if_full(self) -> None:
         if self._is_full:
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        if self._full_after is not None:
-            self._full_after -= 1
+        if self._calls_until_full is not None:
+            self._calls_until_full -= 1
 
     def _before_write(self, descriptor: int, raw: bytes) -> None:
         if self._is_full:
             self._write_half(descriptor, raw)
         else:
-            self._note_write(descriptor, raw)
+            self._record_write(descriptor, raw)
 
     def _write_half(self, descriptor: int, raw: bytes) -> None:
         raw = bytes(raw)[: len(raw) // 2]
-        self._note_write(descriptor, raw)
+        self._record_write(descriptor, raw)
         self._real_write(descriptor, raw)
 
-    def _note_write(self, descriptor: int, raw: bytes) -> None:
+    def _record_write(self, descriptor: int, raw: bytes) -> None:
         start = os.lseek(descriptor, 0, os.SEEK_CUR)
         if fcntl.fcntl(descriptor, fcntl.F_GETFL) & os.O_APPEND:
             start = os.fstat(descriptor).st_size
         inode = os.fstat(descriptor).st_ino
         write = _Write(start, bytes(raw))
-        self._writes.setdefault(inode, []).append(write)
-        first, last = self._given_up.pop(inode, (0, 0))
+        self._unsynced_writes.setdefault(inode, []).append(write)
+        first, last = self._dropped.pop(inode, (0, 0))
         if start <= first:
             first = max(first, start + len(raw))
         if first < last:
-            self._given_up[inode] = (first, last)
+            self._dropped[inode] = (first, last)
 
-    def _before_cut(self, descriptor: int, size: int) -> None:
+    def _before_truncate(self, descriptor: int, size: int) -> None:
         inode = os.fstat(descriptor).st_ino
-        first, last = self._given_up.get(inode, (0, 0))
+        first, last = self._dropped.get(inode, (0, 0))
         if self._is_full:
             return
-        self._given_up.pop(inode, None)
+        self._dropped.pop(inode, None)
         if first < min(last, size):
-            self._given_up[inode] = (first, min(last, size))
+            self._dropped[inode] = (first, min(last, size))
 
-    def _give_up(self, inode: int) -> None:
-        """Forgets what a failed sync should have written."""
+    def _drop_unsynced(self, inode: int) -> None:
+        """Marks the unsynced bytes of a file as dropped by a failed sync."""
         size = len(self._content(inode))
-        synced = len(self._synced.get(inode, b""))
-        first, last = self._given_up.get(inode, (synced, size))
+        synced = len(self._synced_content.get(inode, b""))
+        first, last = self._dropped.get(inode, (synced, size))
         if synced < size:
-            self._given_up[inode] = (min(first, synced), max(last, size))
+            self._dropped[inode] = (min(first, synced), max(last, size))
 
     def _sync(self, descriptor: int) -> None:
-        self._note_names()
-        self._pass_call()
-        found = os.fstat(descriptor)
-        if stat.S_ISDIR(found.st_mode):
+        self._track_files()
+        self._count_call()
+        info = os.fstat(descriptor)
+        if stat.S_ISDIR(info.st_mode):
             folder = pathlib.Path(os.readlink(f"/proc/self/fd/{descriptor}"))
             self._refuse_if_full()
-            self._names[folder] = self._present(folder)
+            self._synced_names[folder] = self._current_names(folder)
             return
-        if self._is_full or self._syncs_fail:
-            self._give_up(found.st_ino)
+        if self._is_full or self._next_sync_fails:
+            self._drop_unsynced(info.st_ino)
         self._refuse_if_full()
-        if self._syncs_fail:
-            self._syncs_fail = False
+        if self._next_sync_fails:
+            self._next_sync_fails = False
             raise OSError(errno.EIO, os.strerror(errno.EIO))
-        content = bytearray(self._content(found.st_ino))
-        first, last = self._given_up.get(found.st_ino, (0, 0))
+        content = bytearray(self._content(info.st_ino))
+        first, last = self._dropped.get(info.st_ino, (0, 0))
         content[first:last] = bytes(last - first)
-        self._synced[found.st_ino] = bytes(content)
-        self._writes.pop(found.st_ino, None)
-        self._note_new_file(found.st_ino)
-
-    def _note_new_file(self, inode: int) -> None:
-        """A new file's first name is durable with its own first sync."""
-        if any(inode in names.values() for names in self._names.values()):
+        self._synced_content[info.st_ino] = bytes(content)
+        self._unsynced_writes.pop(info.st_ino, None)
+        self._sync_first_name(info.st_ino)
+
+    def _sync_first_name(self, inode: int) -> None:
+        """Makes the first name of a file durable with the file's first sync."""
+        if any(
+            inode in names.values() for names in self._synced_names.values()
+        ):
             return
         for folder in self._folders():
-            for name, number in self._present(folder).items():
+            for name, number in self._current_names(folder).items():
                 if number == inode:
-                    self._names.setdefault(folder, {})[name] = inode
+                    self._synced_names.setdefault(folder, {})[name] = inode
 
-    def _note_names(self) -> None:
-        """Keeps each file open, so that its number is not used again."""
+    def _track_files(self) -> None:
+        """Opens each file, so that its inode number is not reused."""
         for folder in self._folders():
-            for name, inode in self._present(folder).items():
+            for name, inode in self._current_names(folder).items():
                 path = folder / name
-                if inode not in self._open and not path.is_dir():
-                    self._open[inode] = self._real_open(path, os.O_RDONLY)
+                if inode not in self._descriptors and not path.is_dir():
+                    self._descriptors[inode] = self._real_open(
+                        path, os.O_RDONLY
+                    )
 
     def _folders(self) -> list[pathlib.Path]:
-        found = sorted(p for p in self.root.rglob("*") if p.is_dir())
-        return [self.root, *found]
+        info = sorted(p for p in self.root.rglob("*") if p.is_dir())
+        return [self.root, *info]
 
-    def _present(self, folder: pathlib.Path) -> dict[str, int]:
+    def _current_names(self, folder: pathlib.Path) -> dict[str, int]:
         paths = sorted(folder.iterdir())
         return {path.name: path.stat().st_ino for path in paths}
 
     def _content(self, inode: int) -> bytes:
-        descriptor = self._open[inode]
+        descriptor = self._descriptors[inode]
         return os.pread(descriptor, os.fstat(descriptor).st_size, 0)
 
     def _inodes(self, folders: list[pathlib.Path]) -> list[int]:
-        """Returns the files that have a name, in the order they were made."""
-        named = {i for names in self._names.values() for i in names.values()}
-        seen = {i for f in folders for i in self._present(f).values()}
-        return [inode for inode in self._open if inode in named | seen]
-
-    def _after_loss(self, inode: int, source: random.Random) -> bytes:
-        """Returns the synced content and a part of what came after it."""
-        synced = self._synced.get(inode, b"")
+        """Returns the inodes that have a name, in the order of creation."""
+        named = {
+            i for names in self._synced_names.values() for i in names.values()
+        }
+        seen = {i for f in folders for i in self._current_names(f).values()}
+        return [inode for inode in self._descriptors if inode in named | seen]
+
+    def _content_after_loss(self, inode: int, rng: random.Random) -> bytes:
+        """Returns the synced content with a random part of later writes."""
+        synced = self._synced_content.get(inode, b"")
         size = len(self._content(inode))
         if size < len(synced):
-            return source.choice((synced, synced[:size]))
-        found = bytearray(synced)
-        if source.random() < ALL_MISSING:
-            return bytes(found)
-        for write in self._writes.get(inode, ()):
-            kept = int(len(write.raw) * source.choice(KEPT_SHARES))
-            if not kept:
+            return rng.choice((synced, synced[:size]))
+        content = bytearray(synced)
+        if rng.random() < ALL_LOST_PROBABILITY:
+            return bytes(content)
+        for write in self._unsynced_writes.get(inode, ()):
+            length = int(len(write.raw) * rng.choice(SURVIVING_SHARES))
+            if not length:
                 continue
-            found += bytes(max(0, write.offset - len(found)))
-            found[write.offset : write.offset + kept] = write.raw[:kept]
-        first, last = self._given_up.get(inode, (0, 0))
-        found[first:last] = bytes(len(found[first:last]))
-        return bytes(found[:size])
+            content += bytes(max(0, write.offset - len(content)))
+            content[write.offset : write.offset + length] = write.raw[:length]
+        first, last = self._dropped.get(inode, (0, 0))
+        content[first:last] = bytes(len(content[first:last]))
+        return bytes(content[:size])
 
-    def _restore(
+    def _restore_names(
         self,
         folder: pathlib.Path,
         contents: dict[int, bytes],
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
-        durable = self._names.get(folder, {})
-        present = self._present(folder)
-        kept: dict[str, int] = {}
+        durable = self._synced_names.get(folder, {})
+        present = self._current_names(folder)
+        restored: dict[str, int] = {}
         for name in sorted(durable.keys() | present.keys()):
             choices = [durable.get(name), present.get(name)]
             if not self.atomic_renames and choices[0] != choices[1]:
                 choices.append(None)
-            inode = source.choice(choices)
+            inode = rng.choice(choices)
             if inode is not None:
-                kept[name] = inode
+                restored[name] = inode
         for name, inode in present.items():
             path = folder / name
             if inode in contents:
                 path.unlink()
-            elif kept.get(name) != inode:
-                path.rename(self._lost / f"{inode}")
-        for name, inode in kept.items():
+            elif restored.get(name) != inode:
+                path.rename(self._lost_folders / f"{inode}")
+        for name, inode in restored.items():
             if inode in contents:
                 (folder / name).write_bytes(contents[inode])
 
-    def _forget(self) -> None:
-        """Starts anew from what stands in the folder, all of it durable."""
+    def _reset(self) -> None:
+        """Makes everything in the folder durable, as the new initial state."""
         self.close()
-        self._synced = {}
-        self._given_up = {}
-        self._writes = {}
-        self._names = {}
-        self._note_names()
-        self._synced = {inode: self._content(inode) for inode in self._open}
+        self._synced_content = {}
+        self._dropped = {}
+        self._unsynced_writes = {}
+        self._synced_names = {}
+        self._track_files()
+        self._synced_content = {
+            inode: self._content(inode) for inode in self._descriptors
+        }
         for folder in self._folders():
-            self._names[folder] = self._present(folder)
+            self._synced_names[folder] = self._current_names(folder)
--- a/laburnumsill/consensus/tests/store_model.py
+++ b/laburnumsill/consensus/tests/store_model.py
@@ -1,4 +1,4 @@
-"""What a replica's store has to hold, change by change."""
+"""A model of the state that a replica's store must hold after each change."""
 
 import dataclasses
 from collections import abc
@@ -8,37 +8,38 @@
 
 
 def last_index(stored: types.Stored) -> int:
-    """Returns the index of the last entry, or the snapshot's."""
+    """Returns the index of the last entry, else that of the snapshot."""
     if stored.entries:
         return stored.entries[-1].index
     return stored.snapshot.index if stored.snapshot else 0
 
 
-def same(found: types.Stored, wanted: types.Stored) -> bool:
-    """Returns whether two stores hold the same, whoever wrote them."""
-    return (found.hard_state, found.snapshot, found.entries) == (
-        wanted.hard_state,
-        wanted.snapshot,
-        wanted.entries,
+def same(left: types.Stored, right: types.Stored) -> bool:
+    """Returns whether two states are equal apart from their incarnations."""
+    return (left.hard_state, left.snapshot, left.entries) == (
+        right.hard_state,
+        right.snapshot,
+        right.entries,
     )
 
 
 def states(
     stored: types.Stored, changes: abc.Iterable[store.Change]
 ) -> list[types.Stored]:
-    """Returns what may be found on the way through changes, in their order.
+    """Returns the states from `stored` on through each record of `changes`.
 
-    The first is the store before them, the last the one after them.
+    A commit of `changes` that is interrupted may leave any of them. The first
+    is `stored`, the last is the state after a complete commit.
     """
-    found = [stored]
+    reached = [stored]
     for change in changes:
         if change.hard_state is not None:
-            found.append(_with(found[-1], hard_state=change.hard_state))
+            reached.append(_with(reached[-1], hard_state=change.hard_state))
         if change.snapshot is not None:
-            found.append(_after_snapshot(found[-1], change))
+            reached.append(_after_snapshot(reached[-1], change))
         for entry in change.entries:
-            found.append(_after_entry(found[-1], entry))
-    return found
+            reached.append(_after_entry(reached[-1], entry))
+    return reached
 
 
 def _after_snapshot(stored: types.Stored, change: store.Change) -> types.Stored:
@@ -52,5 +53,5 @@
     return _with(stored, entries=(*kept, entry))
 
 
-def _with(stored: types.Stored, **changed: object) -> types.Stored:
-    return dataclasses.replace(stored, **changed)
+def _with(stored: types.Stored, **fields: object) -> types.Stored:
+    return dataclasses.replace(stored, **fields)
--- a/laburnumsill/consensus/tests/test_store_full.py
+++ b/laburnumsill/consensus/tests/test_store_full.py
@@ -1,4 +1,4 @@
-"""The store on a disk that is full from some call on, for a while."""
+"""Tests of the store on a disk that is full for a number of system calls."""
 
 import errno
 import itertools
@@ -44,7 +44,7 @@
 
 
 class Model:
-    """What is to be found, record by record."""
+    """The states that a store passes through, one for each record."""
 
     def __init__(self) -> None:
         self.states = [(types.HardState(), None, ())]
@@ -56,27 +56,27 @@
                     self._add(record, change.keep_tail)
 
     def _add(self, record: object, keep_tail: bool) -> None:
-        state, taken, log = self.states[-1]
+        state, saved, log = self.states[-1]
         if isinstance(record, types.HardState):
             state = record
         elif isinstance(record, types.Snapshot):
-            taken = record
+            saved = record
             log = tuple(e for e in log if e.index > record.index and keep_tail)
         else:
             log = (*(e for e in log if e.index < record.index), record)
-        self.states.append((state, taken, log))
+        self.states.append((state, saved, log))
 
 
-def found(kept: store.ReplicaStore) -> tuple:
-    stored = kept.stored
+def stored_state(disk_store: store.ReplicaStore) -> tuple:
+    stored = disk_store.stored
     return (stored.hard_state, stored.snapshot, stored.entries)
 
 
 class FullDisk:
-    """Fails calls with ENOSPC, from one on and for a number of them.
+    """A disk that fails a range of system calls with ENOSPC.
 
-    A write that fails leaves half of its bytes. A sync that fails drops what
-    was not synced, which reads as zeros from then on.
+    A failed write leaves half of its bytes. A failed sync drops the unsynced
+    bytes, which then read as zeros.
     """
 
     CHANGING = (
@@ -105,10 +105,10 @@
         self.last = self.calls + first + count - 1
 
     @property
-    def failed(self) -> bool:
+    def has_failed(self) -> bool:
         return self.first is not None and self.calls >= self.first
 
-    def empty(self) -> None:
+    def free_space(self) -> None:
         self.first = None
 
     def _call(self, name):
@@ -116,11 +116,11 @@
             if name == "open" and not args[1] & os.O_CREAT:
                 return self._real[name](*args, **kwargs)
             self.calls += 1
-            full = self.first is not None and (
+            is_full = self.first is not None and (
                 self.first <= self.calls <= self.last
             )
-            if full:
-                self._leave_a_piece(name, args)
+            if is_full:
+                self._apply_partially(name, args)
                 raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
             result = self._real[name](*args, **kwargs)
             if name in ("fdatasync", "fsync"):
@@ -132,7 +132,7 @@
 
         return call
 
-    def _leave_a_piece(self, name, args) -> None:
+    def _apply_partially(self, name, args) -> None:
         if name == "write":
             raw = bytes(args[1])
             self._real["write"](args[0], raw[: len(raw) // 2])
@@ -153,217 +153,217 @@
     return FullDisk(monkeypatch)
 
 
-def opened(folder):
+def open_store(folder):
     return store_disk.DiskStore(folder, GROUP, SMALL_SEGMENT)
 
 
-def calls_in_all(folder, disk) -> int:
-    kept = opened(folder)
+def count_commit_calls(folder, disk) -> int:
+    disk_store = open_store(folder)
     before = disk.calls
     for batch in BATCHES:
-        kept.commit(batch)
-    kept.close()
+        disk_store.commit(batch)
+    disk_store.close()
     return disk.calls - before
 
 
-def until_kept(kept, batch, disk, tries=50):
-    for _ in range(tries):
+def commit_with_retries(disk_store, batch, disk, attempts=50):
+    for _ in range(attempts):
         try:
-            kept.commit(batch)
+            disk_store.commit(batch)
         except store.DiskFullError:
             continue
         return
-    raise AssertionError("room again, and it is not taken")
+    raise AssertionError("the commit still fails although there is space")
 
 
 @pytest.mark.parametrize("count", [1, 2, 5, 20])
-def test_a_full_disk_loses_nothing_at_any_call(folder, disk, count):
-    total = calls_in_all(folder / "first", disk)
+def test_a_full_disk_at_any_call_loses_nothing(folder, disk, count):
+    total = count_commit_calls(folder / "first", disk)
     assert total > 50
     model = Model()
     for batch in BATCHES:
         model.add(batch)
     for first in range(1, total + 1):
-        place = folder / f"from-{first}"
-        kept = opened(place)
+        store_folder = folder / f"from-{first}"
+        disk_store = open_store(store_folder)
         disk.fill(first, count)
         for batch in BATCHES:
-            until_kept(kept, batch, disk)
-        kept.close()
-        disk.empty()
-        assert found(opened(place)) == model.states[-1], first
+            commit_with_retries(disk_store, batch, disk)
+        disk_store.close()
+        disk.free_space()
+        assert stored_state(open_store(store_folder)) == model.states[-1], first
 
 
 @pytest.mark.parametrize("count", [1, 3])
-def test_a_kill_on_a_full_disk_loses_nothing_that_was_kept(folder, disk, count):
-    total = calls_in_all(folder / "first", disk)
-    for first, tries in itertools.product(range(1, total + 1), (1, 2)):
-        place = folder / f"from-{first}-{tries}"
-        kept = opened(place)
+def test_a_kill_on_a_full_disk_loses_no_committed_batch(folder, disk, count):
+    total = count_commit_calls(folder / "first", disk)
+    for first, attempts in itertools.product(range(1, total + 1), (1, 2)):
+        store_folder = folder / f"from-{first}-{attempts}"
+        disk_store = open_store(store_folder)
         disk.fill(first, count)
-        kept_batches = killed_while_full(kept, tries)
-        disk.empty()
-        again = opened(place)
-        check_found(again, kept_batches)
-        assert again.stored.incarnation == kept.stored.incarnation
-        for batch in BATCHES[kept_batches:]:
-            again.commit(batch)
-        again.close()
-        check_found(opened(place), len(BATCHES))
-
-
-def killed_while_full(kept, tries) -> int:
-    """Returns how many batches were kept when the process ended."""
+        committed = commit_until_killed(disk_store, attempts)
+        disk.free_space()
+        reopened = open_store(store_folder)
+        check_state(reopened, committed)
+        assert reopened.stored.incarnation == disk_store.stored.incarnation
+        for batch in BATCHES[committed:]:
+            reopened.commit(batch)
+        reopened.close()
+        check_state(open_store(store_folder), len(BATCHES))
+
+
+def commit_until_killed(disk_store, attempts) -> int:
+    """Commits until a batch fails; returns the number of committed batches."""
     for number, batch in enumerate(BATCHES):
-        for _ in range(tries):
+        for _ in range(attempts):
             try:
-                kept.commit(batch)
+                disk_store.commit(batch)
             except store.DiskFullError:
                 continue
             break
         else:
-            kept.close()
+            disk_store.close()
             return number
-    kept.close()
+    disk_store.close()
     return len(BATCHES)
 
 
-def check_found(again, kept_batches) -> None:
-    """All that was kept is there, with some records of the next batch."""
+def check_state(reopened, committed) -> None:
+    """Checks for all committed batches, with any records of the next one."""
     model = Model()
-    for batch in BATCHES[:kept_batches]:
+    for batch in BATCHES[:committed]:
         model.add(batch)
-    least = len(model.states) - 1
-    for batch in BATCHES[kept_batches : kept_batches + 1]:
+    start = len(model.states) - 1
+    for batch in BATCHES[committed : committed + 1]:
         model.add(batch)
-    assert found(again) in model.states[least:]
+    assert stored_state(reopened) in model.states[start:]
 
 
-def calls_to_open(folder, disk) -> int:
+def count_open_calls(folder, disk) -> int:
     before = disk.calls
-    opened(folder).close()
+    open_store(folder).close()
     return disk.calls - before
 
 
-def test_an_open_on_a_full_disk_fails_typed_and_works_with_room(folder, disk):
-    in_new, in_old = (calls_to_open(folder, disk) for _ in range(2))
-    assert min(in_new, in_old) > 4
-    for first in range(1, in_new + 1):
-        place = folder / f"from-{first}"
-        fail_to_open(place, disk, first)
-        kept = opened(place)
+def test_an_open_succeeds_once_a_full_disk_has_space(folder, disk):
+    new_store_calls, old_store_calls = (
+        count_open_calls(folder, disk) for _ in range(2)
+    )
+    assert min(new_store_calls, old_store_calls) > 4
+    for first in range(1, new_store_calls + 1):
+        store_folder = folder / f"from-{first}"
+        fail_to_open(store_folder, disk, first)
+        disk_store = open_store(store_folder)
         for batch in BATCHES:
-            kept.commit(batch)
-        kept.close()
-        for again in range(1, in_old + 1):
-            fail_to_open(place, disk, again)
-        check_found(opened(place), len(BATCHES))
+            disk_store.commit(batch)
+        disk_store.close()
+        for call in range(1, old_store_calls + 1):
+            fail_to_open(store_folder, disk, call)
+        check_state(open_store(store_folder), len(BATCHES))
 
 
-def fail_to_open(place, disk, first) -> None:
+def fail_to_open(store_folder, disk, first) -> None:
     disk.fill(first, 1000)
     with pytest.raises(store.DiskFullError):
-        opened(place)
-    disk.empty()
+        open_store(store_folder)
+    disk.free_space()
 
 
-def test_a_snapshot_without_room_leaves_no_file_and_the_log_goes_on(
+def test_a_snapshot_on_a_full_disk_leaves_no_file_and_the_log_goes_on(
     folder, disk
 ):
-    kept = opened(folder)
+    disk_store = open_store(folder)
     for batch in BATCHES[:3]:
-        kept.commit(batch)
+        disk_store.commit(batch)
     big = types.Snapshot(5, 2, MEMBERSHIP, b"s" * 100_000)
-    real = durable_files.write_all
+    real_call = durable_files.write_all
 
     def write_all(descriptor, raw, path):
         if len(raw) > 50_000:
             raise store.DiskFullError(f"{path}: no room")
-        real(descriptor, raw, path)
+        real_call(descriptor, raw, path)
 
     disk._patch.setattr(durable_files, "write_all", write_all)
     for _ in range(5):
         with pytest.raises(store.DiskFullError):
-            kept.commit([store.Change(snapshot=big)])
+            disk_store.commit([store.Change(snapshot=big)])
     assert not list(folder.glob("snapshot*"))
     before = len(list(folder.iterdir()))
     with pytest.raises(store.DiskFullError):
-        kept.commit([store.Change(snapshot=big)])
+        disk_store.commit([store.Change(snapshot=big)])
     assert len(list(folder.iterdir())) == before
-    kept.commit([store.Change(entries=entries(7, 8, 2))])
-    kept.close()
+    disk_store.commit([store.Change(entries=entries(7, 8, 2))])
+    disk_store.close()
     expected = entries(1, 3) + entries(4, 6, 2) + entries(7, 8, 2)
-    assert opened(folder).stored.entries == expected
+    assert open_store(folder).stored.entries == expected
 
 
-def test_a_failed_sync_is_not_repeated_over_dropped_pages(folder, disk):
-    kept = opened(folder)
-    kept.commit(BATCHES[0])
-    disk.fill(2, 1)  # the write is done, its sync finds no room
+def test_a_batch_is_rewritten_after_a_sync_on_a_full_disk(folder, disk):
+    disk_store = open_store(folder)
+    disk_store.commit(BATCHES[0])
+    disk.fill(2, 1)  # The write succeeds and its sync fails.
     with pytest.raises(store.DiskFullError):
-        kept.commit(BATCHES[1])
-    kept.commit(BATCHES[1])
-    kept.close()
-    assert opened(folder).stored.entries == entries(1, 5)
+        disk_store.commit(BATCHES[1])
+    disk_store.commit(BATCHES[1])
+    disk_store.close()
+    assert open_store(folder).stored.entries == entries(1, 5)
 
 
-def test_a_sync_that_fails_otherwise_while_it_is_mended_is_fatal(
-    folder, disk, monkeypatch
-):
-    kept = opened(folder)
+def test_an_io_error_during_the_rollback_is_fatal(folder, disk, monkeypatch):
+    disk_store = open_store(folder)
     disk.fill(1, 1)
     with pytest.raises(store.DiskFullError):
-        kept.commit(BATCHES[0])
+        disk_store.commit(BATCHES[0])
 
     def fail(*_):
         raise OSError(errno.EIO, os.strerror(errno.EIO))
 
     monkeypatch.setattr(os, "fsync", fail)
     with pytest.raises(store.SyncFailedError):
-        kept.commit(BATCHES[0])
+        disk_store.commit(BATCHES[0])
     monkeypatch.undo()
     with pytest.raises(errors.StorageError):
-        kept.commit(BATCHES[0])
+        disk_store.commit(BATCHES[0])
 
 
-def test_a_segment_that_was_begun_without_room_takes_no_term_back(folder, disk):
-    """Its name is there already, with the term of then."""
-    kept = opened(folder)
-    kept.commit(BATCHES[0])
+def test_an_incomplete_segment_does_not_restore_an_old_term(folder, disk):
+    """Its file may exist already, with the hard state of the failed commit."""
+    disk_store = open_store(folder)
+    disk_store.commit(BATCHES[0])
     before = disk.calls
-    kept.commit([store.Change(snapshot=snapshot(1, 1))])
-    in_all = disk.calls - before
-    for number in range(1, in_all + 1):
-        place = folder / f"from-{number}"
-        kept = opened(place)
-        kept.commit(BATCHES[0])
+    disk_store.commit([store.Change(snapshot=snapshot(1, 1))])
+    commit_calls = disk.calls - before
+    for number in range(1, commit_calls + 1):
+        store_folder = folder / f"from-{number}"
+        disk_store = open_store(store_folder)
+        disk_store.commit(BATCHES[0])
         disk.fill(number, 1)
-        left_out = False
+        skipped = False
         try:
-            kept.commit([store.Change(snapshot=snapshot(1, 1))])
+            disk_store.commit([store.Change(snapshot=snapshot(1, 1))])
         except store.DiskFullError:
-            left_out = True
-        disk.empty()
-        kept.commit([store.Change(types.HardState(9, VOTER))])
-        kept.close()
-        again = opened(place)
-        assert again.stored.hard_state == types.HardState(9, VOTER)
-        assert left_out or again.stored.snapshot == snapshot(1, 1)
-
-
-def test_damage_of_what_was_kept_is_found_beside_a_batch_that_was_not(
-    folder, disk
-):
-    kept = opened(folder)
-    kept.commit(BATCHES[0])
-    for first in (1, 4):  # the batch; then it again, after cut and start
+            skipped = True
+        disk.free_space()
+        disk_store.commit([store.Change(types.HardState(9, VOTER))])
+        disk_store.close()
+        reopened = open_store(store_folder)
+        assert reopened.stored.hard_state == types.HardState(9, VOTER)
+        assert skipped or reopened.stored.snapshot == snapshot(1, 1)
+
+
+def test_damage_before_a_batch_that_was_not_synced_is_detected(folder, disk):
+    disk_store = open_store(folder)
+    disk_store.commit(BATCHES[0])
+    # Call 1 writes the batch; call 4 writes it again, after the truncation, its
+    # sync and the batch start.
+    for first in (1, 4):
         disk.fill(first, 1)
         with pytest.raises(store.DiskFullError):
-            kept.commit(BATCHES[1])
-    kept.close()
+            disk_store.commit(BATCHES[1])
+    disk_store.close()
     path = max(folder.glob("log-*"))
     raw = bytearray(path.read_bytes())
     raw[raw.index(entries(2, 2)[0].data)] ^= 1
     path.write_bytes(raw)
     with pytest.raises(store.DamagedLogError):
-        opened(folder)
+        open_store(folder)
--- a/laburnumsill/consensus/tests/test_store_machine.py
+++ b/laburnumsill/consensus/tests/test_store_machine.py
@@ -1,7 +1,7 @@
-"""The store under commits, kills, full disks and losses of power, at random.
+"""Random tests of the store with kills, full disks and power losses.
 
-The environment variable LABURNUMSILL_STORE_EXAMPLES asks for more examples,
-from a new seed each time.
+The environment variable LABURNUMSILL_STORE_EXAMPLES sets another number of
+examples, which are then drawn from a new seed at each run.
 """
 
 import contextlib
@@ -20,55 +20,55 @@
 from laburnumsill.consensus.tests import test_store_power_loss
 
 EXAMPLES = 100
-MORE = os.environ.get("LABURNUMSILL_STORE_EXAMPLES")
-DARK_AFTER_KILL = 0.5
-"""How often a loss of power follows a kill before the next start."""
+REQUESTED_EXAMPLES = os.environ.get("LABURNUMSILL_STORE_EXAMPLES")
+POWER_LOSS_AFTER_KILL_PROBABILITY = 0.5
+"""Probability that a power loss follows a kill before the next start."""
 
 VOTER = test_store_power_loss.VOTER
 MEMBERSHIP = test_store_power_loss.MEMBERSHIP
 entries = test_store_power_loss.entries
-opened = test_store_power_loss.opened
+open_store = test_store_power_loss.open_store
 
 
 class PowerLosses(stateful.RuleBasedStateMachine):
-    """One store, killed at any call and without power at any moment.
+    """A store whose process may be killed or lose power at any system call.
 
-    The disk is full from some call on, now and then. What a commit has
-    returned for, and what an opened store has reported, must be found by every
-    later opening.
+    The disk may also become full at any call. The state of each commit that
+    returned, and each state that an opened store reported, must be found
+    whenever the store is opened later.
     """
 
     def __init__(self):
         super().__init__()
         self.resources = contextlib.ExitStack()
-        self.kept = None
-        self.promised = types.Stored("", types.HardState(), None, ())
-        self.last = 0
+        self.replica_store = None
+        self.durable = types.Stored("", types.HardState(), None, ())
+        self.last_index = 0
         self.term = 1
-        self.stuck = None
-        self.left_out = []
+        self.refused = None
+        self.skipped = []
 
     @stateful.initialize(seed=strategies.integers(0, 2**16))
-    def begin(self, seed):
-        self.source = random.Random(seed)
+    def create_disk(self, seed):
+        self.rng = random.Random(seed)
         disk = simulated_disk.simulated()
         self.disk = self.resources.enter_context(disk)
         self.open()
 
     def teardown(self):
-        if self.kept is not None:
-            self.kept.close()
+        if self.replica_store is not None:
+            self.replica_store.close()
         self.resources.close()
 
     @stateful.rule(count=strategies.integers(1, 4))
     def commit_entries(self, count):
-        new = entries(self.last + 1, self.last + count, self.term)
+        new = entries(self.last_index + 1, self.last_index + count, self.term)
         self.commit([store.Change(entries=new)])
 
     @stateful.rule(back=strategies.integers(0, 3))
     def replace_entries(self, back):
-        covered = self.covered()
-        first = max(covered + 1, self.last - back)
+        snapshot_index = self.snapshot_index()
+        first = max(snapshot_index + 1, self.last_index - back)
         self.term += 1
         new = entries(first, first + 1, self.term)
         self.commit([store.Change(entries=new)])
@@ -81,9 +81,9 @@
 
     @stateful.rule(count=strategies.integers(2, 4))
     def commit_many(self, count):
-        """What has come while a sync lasted shares the next one."""
+        """Commits several changes at once, as after a sync they waited for."""
         changes = []
-        last = max(self.covered(), self.last - 1)
+        last = max(self.snapshot_index(), self.last_index - 1)
         for _ in range(count):
             self.term += 1
             state = types.HardState(self.term, VOTER)
@@ -93,20 +93,22 @@
         self.commit(changes)
 
     @stateful.rule(back=strategies.integers(0, 4))
-    def take_snapshot(self, back, start_calls=None):
-        held = [e for e in self.promised.entries if e.index > self.covered()]
-        if held:
-            entry = held[max(0, len(held) - 1 - back)]
+    def take_snapshot(self, back, open_calls=None):
+        log = [
+            e for e in self.durable.entries if e.index > self.snapshot_index()
+        ]
+        if log:
+            entry = log[max(0, len(log) - 1 - back)]
             data = f"{entry.index}".encode()
             taken = types.Snapshot(entry.index, entry.term, MEMBERSHIP, data)
-            self.commit([store.Change(snapshot=taken)], start_calls)
+            self.commit([store.Change(snapshot=taken)], open_calls)
 
     @stateful.rule(
         ahead=strategies.integers(0, 3), count=strategies.integers(0, 2)
     )
     def install_snapshot(self, ahead, count):
-        """One from a leader whose log this replica did not match."""
-        index = max(self.last, self.covered() + 1) + ahead
+        """Installs a snapshot of a leader whose log does not match."""
+        index = max(self.last_index, self.snapshot_index() + 1) + ahead
         self.term += 1
         state = types.HardState(self.term, None)
         sent = types.Snapshot(index, self.term, MEMBERSHIP, b"sent")
@@ -114,7 +116,7 @@
         self.commit([store.Change(state, sent, False, new)])
 
     @stateful.rule(calls=strategies.integers(0, 12))
-    def be_killed_soon(self, calls):
+    def kill_soon(self, calls):
         self.disk.kill_after(calls)
 
     @stateful.rule(calls=strategies.integers(0, 12))
@@ -122,104 +124,114 @@
         self.disk.fill_after(calls)
 
     @stateful.rule()
-    def make_room(self):
-        self.disk.make_room()
-        if self.stuck is not None:
-            self.commit(self.stuck)
+    def free_space(self):
+        self.disk.free_space()
+        if self.refused is not None:
+            self.commit(self.refused)
 
     @stateful.rule()
-    def be_killed(self):
+    def kill(self):
         self.reopen()
 
     @stateful.rule()
     def lose_power(self):
-        self.disk.lose_power(self.source)
+        self.disk.lose_power(self.rng)
         self.reopen()
 
     @stateful.rule(
         calls=strategies.integers(6, 11),
-        start_calls=strategies.integers(0, 6),
+        open_calls=strategies.integers(0, 6),
     )
-    def have_a_snapshot_and_a_start_cut_short(self, calls, start_calls):
-        """The snapshot may have its name, and the name not be durable."""
+    def kill_during_snapshot_and_open(self, calls, open_calls):
+        """Interrupts a snapshot and the start after it.
+
+        The snapshot may have its name while the name is not durable yet.
+        """
         self.disk.kill_after(calls)
-        self.take_snapshot(0, start_calls)
+        self.take_snapshot(0, open_calls)
         self.reopen()
 
-    def covered(self):
-        """Returns up to where a snapshot was taken, kept or left out.
+    def snapshot_index(self):
+        """Returns the highest index of a snapshot, stored or skipped.
 
-        It was committed, so it is not replaced, and later snapshots are newer.
+        Entries up to it are committed: they are not replaced, and later
+        snapshots are newer.
         """
-        snapshots = [change.snapshot for change in self.left_out]
-        if self.promised.snapshot:
-            snapshots.append(self.promised.snapshot)
+        snapshots = [change.snapshot for change in self.skipped]
+        if self.durable.snapshot:
+            snapshots.append(self.durable.snapshot)
         return max((snapshot.index for snapshot in snapshots), default=0)
 
-    def commit(self, changes, start_calls=None):
-        """Commits changes; what a full disk did not take comes first."""
-        changes = self.stuck or changes
+    def commit(self, changes, open_calls=None):
+        """Commits `changes`, or else those that a full disk refused before."""
+        changes = self.refused or changes
         try:
-            self.kept.commit(changes)
+            self.replica_store.commit(changes)
         except simulated_disk.ProcessKilled:
-            if start_calls is not None:
-                self.start_cut_short(start_calls)
-            elif self.source.random() < DARK_AFTER_KILL:
-                self.disk.lose_power(self.source)
+            if open_calls is not None:
+                self.kill_during_open(open_calls)
+            elif self.rng.random() < POWER_LOSS_AFTER_KILL_PROBABILITY:
+                self.disk.lose_power(self.rng)
             self.reopen(changes)
             return
         except store.DiskFullError:
-            self.stuck = changes
+            self.refused = changes
             if len(changes) == 1 and changes[0].may_be_left_out:
-                self.stuck = None
-                self.left_out += changes
+                self.refused = None
+                self.skipped += changes
             return
-        self.stuck = None
+        self.refused = None
         if changes[0].snapshot is not None:
-            self.left_out = []
-        self.promised = store_model.states(self.promised, changes)[-1]
-        self.last = store_model.last_index(self.promised)
+            self.skipped = []
+        self.durable = store_model.states(self.durable, changes)[-1]
+        self.last_index = store_model.last_index(self.durable)
 
-    def reopen(self, unsure=None):
-        """Starts again, with changes that may have been kept or not."""
-        self.kept.close()
+    def reopen(self, uncertain=None):
+        """Opens the store in a new process.
+
+        Args:
+            uncertain: Changes that may be stored, in part or as a whole.
+        """
+        self.replica_store.close()
         self.disk.restart()
-        self.open(unsure or self.stuck)
+        self.open(uncertain or self.refused)
 
-    def start_cut_short(self, calls):
-        """Kills a start; what it may have reported is not asked for."""
+    def kill_during_open(self, calls):
+        """Kills a start and loses power; the state it reported is ignored."""
         self.disk.kill_after(calls)
-        ends = (simulated_disk.ProcessKilled, store.DiskFullError)
-        with contextlib.suppress(*ends):
-            opened(self.disk.root).close()
-        self.disk.lose_power(self.source)
-
-    def open(self, unsure=None):
-        self.kept = self.opened_with_room()
-        self.stuck = None
-        found = self.kept.stored
-        allowed = store_model.states(self.promised, unsure or ())
-        for state, left_out in itertools.product(allowed[:], self.left_out):
-            allowed += store_model.states(state, [left_out])
-        assert any(store_model.same(found, one) for one in allowed), found
-        self.promised = found
-        self.last = store_model.last_index(found)
-        self.left_out = []
-
-    def opened_with_room(self):
+        interruptions = (simulated_disk.ProcessKilled, store.DiskFullError)
+        with contextlib.suppress(*interruptions):
+            open_store(self.disk.root).close()
+        self.disk.lose_power(self.rng)
+
+    def open(self, uncertain=None):
+        self.replica_store = self.open_with_space()
+        self.refused = None
+        found = self.replica_store.stored
+        allowed = store_model.states(self.durable, uncertain or ())
+        for state, skipped in itertools.product(allowed[:], self.skipped):
+            allowed += store_model.states(state, [skipped])
+        assert any(store_model.same(found, expected) for expected in allowed), (
+            found
+        )
+        self.durable = found
+        self.last_index = store_model.last_index(found)
+        self.skipped = []
+
+    def open_with_space(self):
         for _ in range(2):
             try:
-                return opened(self.disk.root)
+                return open_store(self.disk.root)
             except store.DiskFullError:
                 continue
-        self.disk.make_room()
-        return opened(self.disk.root)
+        self.disk.free_space()
+        return open_store(self.disk.root)
 
 
 PowerLosses.TestCase.settings = hypothesis.settings(
-    max_examples=int(MORE or EXAMPLES),
+    max_examples=int(REQUESTED_EXAMPLES or EXAMPLES),
     stateful_step_count=30,
-    derandomize=MORE is None,
+    derandomize=REQUESTED_EXAMPLES is None,
     database=None,
     deadline=None,
     phases=(hypothesis.Phase.generate,),
