--- a/laburnumsill/consensus/tests/test_disk_and_power_loss.py
+++ b/laburnumsill/consensus/tests/test_disk_and_power_loss.py
@@ -1,4 +1,4 @@
-"""Disks are lost while all other VMs lose power, right after a write."""
+"""Tests of disks lost while all other VMs lose power, right after a write."""
 
 import pytest
 
@@ -11,10 +11,13 @@
     ("vms", "lost_disks"), [("abc", 1), ("abcde", 1), ("abcde", 2)]
 )
 @pytest.mark.parametrize("seed", range(12))
-def test_what_was_acknowledged_outlives_lost_disks_and_a_loss_of_power(
+def test_acknowledged_writes_survive_lost_disks_and_a_power_loss(
     vms, lost_disks, seed
 ):
-    """Of 2n + 1 voters n lose their disks, those that acknowledged too."""
+    """Of 2n + 1 voters up to n lose their disks; all others lose power.
+
+    The voters that lose their disks may have acknowledged the writes.
+    """
     group = simulated_group.Group(vms, vms, seed)
     group.load = 0.3
     group.run(2.0)
@@ -22,25 +25,27 @@
         leader = group.elect()
         operation = group.write(leader, b"acknowledged-%d" % number)
         if operation is not None:
-            group.run_until(lambda one=operation: one.done or _gone(group))
-    acknowledged = group.floor
-    lost = set(group.random.sample(vms, lost_disks))
+            group.run_until(
+                lambda one=operation: one.done or _has_no_leader(group)
+            )
+    acknowledged_index = group.floor
+    vms_without_disk = set(group.random.sample(vms, lost_disks))
     for vm in vms:
-        if vm in lost:
+        if vm in vms_without_disk:
             group.add(vm)
         else:
             group.hosts[vm].crash(0, group.random.uniform(0.1, 0.6))
     group.load = 0.0
     group.run_until(group.leader)
     leader = group.leader()
-    assert leader.me.vm not in lost
-    group.run_until(lambda: group.leader().applied >= acknowledged)
-    last = []
+    assert leader.me.vm not in vms_without_disk
+    group.run_until(lambda: group.leader().applied >= acknowledged_index)
+    last_writes = []
 
     def written():
-        last.append(group.write(group.leader(), b"last"))
+        last_writes.append(group.write(group.leader(), b"last"))
         group.run(0.5)
-        return any(one is not None and one.done for one in last)
+        return any(one is not None and one.done for one in last_writes)
 
     group.run_until(written)
 
@@ -49,15 +54,18 @@
     ("vms", "counted"), [("abc", "a"), ("abcde", "a"), ("abcde", "ab")]
 )
 @pytest.mark.parametrize("seed", range(4))
-def test_a_majority_of_disks_goes_on_without_those_the_membership_counts_on(
+def test_a_majority_of_disks_goes_on_when_the_membership_lacks_disk_marks(
     vms, counted, seed
 ):
-    """A membership may lack the marks of disks that its voters do have."""
+    """The membership's `with_disk` names only `counted` of the VMs with disks.
+
+    The VMs that it names lose their disks, and all others lose power.
+    """
     group = simulated_group.Group(vms, vms, seed, counted)
     group.run(2.0)
     leader = group.elect()
     operation = group.write(leader, b"acknowledged")
-    group.run_until(lambda: operation.done or _gone(group))
+    group.run_until(lambda: operation.done or _has_no_leader(group))
     for vm in vms:
         if vm in counted:
             group.add(vm)
@@ -66,6 +74,6 @@
     group.until_read()
 
 
-def _gone(group):
-    """Whether the leader was lost meanwhile, and its write with it."""
+def _has_no_leader(group):
+    """Returns whether there is no leader; a pending write may be lost then."""
     return group.leader() is None
