--- a/laburnumsill/consensus/store_disk.py
+++ b/laburnumsill/consensus/store_disk.py
@@ -155,10 +155,10 @@
     def _roll_back_unsynced(self) -> None:
         """Truncates the active segment to its synced size after a full disk.
 
-        If a new segment was being created, its file may exist already, with
-        the hard state of that time. Replay would let that hard state override
-        later records of the older segment, so the new segment is created
-        again and the older one gets no more records.
+        If a new segment was being created, its file may already exist, with
+        the hard state at the time of the failure. Replay would let that hard
+        state override later records of the older segment, so the new segment
+        is created again and the older one gets no more records.
         """
         if not self._needs_rollback:
             return
--- a/laburnumsill/consensus/store_replay.py
+++ b/laburnumsill/consensus/store_replay.py
@@ -32,8 +32,8 @@
         last_index: Highest index of an entry, 0 if there is none.
         size: Bytes up to the end of the last valid record.
         unsynced_entries: Number of entries after the last batch start. Their
-            sync may not have completed before this start, so that only the
-            operating system's cache held them.
+            sync may not have completed, so before the replay possibly only
+            the operating system's cache held them.
     """
 
     number: int
--- a/laburnumsill/consensus/tests/simulated_disk.py
+++ b/laburnumsill/consensus/tests/simulated_disk.py
@@ -89,6 +89,8 @@
         self._calls_until_kill: int | None = None
         self._calls_until_full: int | None = None
         self._next_sync_fails = False
+        # Keyed by inode, except for the names, which are keyed by folder. A
+        # dropped range is the bytes that a failed sync did not write.
         self._dropped: dict[int, tuple[int, int]] = {}
         self._unsynced_writes: dict[int, list[_Write]] = {}
         self._synced_content: dict[int, bytes] = {}
@@ -269,8 +271,8 @@
                     )
 
     def _folders(self) -> list[pathlib.Path]:
-        info = sorted(p for p in self.root.rglob("*") if p.is_dir())
-        return [self.root, *info]
+        subfolders = sorted(p for p in self.root.rglob("*") if p.is_dir())
+        return [self.root, *subfolders]
 
     def _current_names(self, folder: pathlib.Path) -> dict[str, int]:
         paths = sorted(folder.iterdir())
--- a/laburnumsill/consensus/tests/test_disk_full.py
+++ b/laburnumsill/consensus/tests/test_disk_full.py
@@ -242,7 +242,7 @@
 
     def write_all(descriptor, raw, path):
         if leader.folder in path.parents and path.name.startswith("snapshot"):
-            raise store.DiskFullError(f"{path}: no room")
+            raise store.DiskFullError(f"{path}: no space")
         real_write_all(descriptor, raw, path)
 
     monkeypatch.setattr(durable_files, "write_all", write_all)
--- a/laburnumsill/consensus/tests/test_store.py
+++ b/laburnumsill/consensus/tests/test_store.py
@@ -96,12 +96,12 @@
 def test_a_tail_torn_at_any_byte_is_truncated(folder):
     disk_store = store_disk.DiskStore(folder, GROUP)
     append(disk_store, entries(1, 3))
-    whole = last_segment(folder).read_bytes()
+    synced = last_segment(folder).read_bytes()
     append(disk_store, entries(4, 6))
     disk_store.close()
     path = last_segment(folder)
     raw = path.read_bytes()
-    for size in range(len(whole), len(raw)):
+    for size in range(len(synced), len(raw)):
         for other in folder.glob("log-*"):
             if other != path:
                 other.unlink()
--- a/laburnumsill/consensus/tests/test_store_full.py
+++ b/laburnumsill/consensus/tests/test_store_full.py
@@ -280,7 +280,7 @@
 
     def write_all(descriptor, raw, path):
         if len(raw) > 50_000:
-            raise store.DiskFullError(f"{path}: no room")
+            raise store.DiskFullError(f"{path}: no space")
         real_call(descriptor, raw, path)
 
     disk._patch.setattr(durable_files, "write_all", write_all)
--- a/laburnumsill/consensus/tests/test_store_machine.py
+++ b/laburnumsill/consensus/tests/test_store_machine.py
@@ -36,6 +36,14 @@
     The disk may also become full at any call. The state of each commit that
     returned, and each state that an opened store reported, must be found
     whenever the store is opened later.
+
+    Attributes:
+        durable: The state that must be found.
+        last_index: Its last index.
+        refused: Changes that a full disk refused, or None. They are committed
+            again before any others.
+        skipped: Snapshots that a full disk refused and that are not committed
+            again.
     """
 
     def __init__(self):
