--- a/laburnumsill/consensus/tests/test_disk_full.py
+++ b/laburnumsill/consensus/tests/test_disk_full.py
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3])
-async def test_a_start_on_a_full_disk_waits_for_space(
+async def test_a_start_with_a_full_disk_waits_for_room(
     make_cluster, full_disks, count
 ):
     cluster = make_cluster()
@@ -219,7 +219,7 @@
     await check_after_restart(cluster, *keys)
 
 
-async def test_a_first_start_on_full_disks_founds_groups_once_there_is_space(
+async def test_a_first_start_with_full_disks_founds_once_there_is_room(
     make_cluster, full_disks
 ):
     cluster = make_cluster()
