--- a/laburnumsill/consensus/tests/host_cluster.py
+++ b/laburnumsill/consensus/tests/host_cluster.py
@@ -1,4 +1,4 @@
-"""VMs on loopback TCP in one process, for the tests of the host."""
+"""A cluster of VMs on loopback TCP in one process, for tests of the host."""
 
 import dataclasses
 import os
@@ -42,7 +42,7 @@
 
 
 class Keys(replication.Component):
-    """A set of keys; adding "bad" is refused."""
+    """A set of keys; the key "bad" is refused."""
 
     name = "keys"
 
@@ -88,18 +88,18 @@
 
 
 def skip_syncs(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Has syncs return at once.
+    """Replaces disk syncs by no-ops.
 
-    The bounds of a test are those of the product's own pauses. A sync of the
-    machine's disk takes up to a second while others write to it, which no
-    loss of power in these tests asks for.
+    The time limits of the tests cover only the delays of the product. A real
+    sync takes up to a second while other processes write to the disk, and the
+    tests that use this function simulate no power loss.
     """
     for name in ("fsync", "fdatasync"):
         monkeypatch.setattr(os, name, lambda _: None)
 
 
 class Node:
-    """One VM: its network and its host, started and stopped together."""
+    """One VM, whose network and host are started and stopped together."""
 
     def __init__(self, cluster: "Cluster", vm: topology.Vm) -> None:
         self.cluster = cluster
@@ -157,7 +157,7 @@
 
 
 class Cluster:
-    """VMs of one process on loopback, one failure domain each."""
+    """The VMs of one process, spread over three failure domains."""
 
     def __init__(
         self,
@@ -216,7 +216,11 @@
         return total.keys
 
     async def until_settled(self, group: str = ROOT) -> None:
-        """Waits until all running VMs agree and nobody is a learner."""
+        """Waits until all running replicas agree on the state of the group.
+
+        They know the same leader and three voters, no replica is a learner,
+        and all have applied the same entries.
+        """
 
         def settled() -> bool:
             running = [n for n in self.nodes if not n.stopped.is_set()]
--- a/laburnumsill/consensus/tests/kept_group.py
+++ b/laburnumsill/consensus/tests/kept_group.py
@@ -1,8 +1,8 @@
-"""A simulated group whose voters are kept as those of a site are.
+"""A simulated group whose membership is managed as on a real site.
 
-Each VM runs the product's own choice of voters beside its engine, knows no
-more of the others than they told it since its process started, and forgets
-that when it starts again.
+Each VM runs the membership manager and the voter choice of the product beside
+its engine. It knows of the other VMs only what it has received from them since
+its process started.
 """
 
 import string
@@ -17,12 +17,12 @@
 from laburnumsill.core import replication
 
 GROUP = "g"
-TURNS_A_ROUND = 5
-"""Turns of the group, of 0.05 s each, for one of housekeeping."""
+STEPS_PER_RECONCILIATION = 5
+"""Number of simulation steps, of 0.05 s each, between reconciliations."""
 
 
 class _NoPeers(replication.Peers):
-    """The hellos of this test go directly from keeper to keeper."""
+    """Unused peers: hellos are passed directly between the managers."""
 
     async def call(self, vm, request, deadline):
         raise NotImplementedError
@@ -40,8 +40,8 @@
         raise NotImplementedError
 
 
-class _Hosted:
-    """What a keeper sees of the replica beside it."""
+class _HostedReplica:
+    """The part of a hosted replica that the membership manager uses."""
 
     name = GROUP
     with_disk = True
@@ -64,71 +64,87 @@
         self.engine.propose_membership(membership, self._now)
 
 
-class KeptGroup(simulated_group.Group):
-    """A group of `wanted` voters on some of its VMs, all with disks."""
+class ManagedGroup(simulated_group.Group):
+    """A group with managed membership; all its VMs have disks.
+
+    Args:
+        vms: The VMs; the first `wanted` are the initial voters.
+        wanted: The desired number of voters.
+        seed: The seed of the random numbers.
+    """
 
     def __init__(self, vms: str, wanted: int, seed: int) -> None:
         self._wanted = wanted
         self._managers: dict[str, host_members.MembershipManager] = {}
         self._engines: dict[str, engines.Engine | None] = {}
         self._clock = clocks.ManualClock()
-        self._turn = 0
-        self._settled_index = 0
+        self._step_count = 0
+        self._reported_membership_index = 0
         super().__init__(vms[:wanted], string.ascii_lowercase, seed)
         for spare in vms[wanted:]:
             self.add(spare)
 
     @property
     def voters(self) -> tuple[types.ReplicaId, ...]:
-        """The voters that the leader knows, none without a leader."""
+        """The voters according to the leader; empty without a leader."""
         leader = self.leader()
         return leader.engine.membership.voters if leader else ()
 
     def run(self, seconds: float) -> None:
         for _ in range(round(seconds / 0.05)):
             super().run(0.05)
-            self._turn += 1
-            if self._settled() or self._turn % TURNS_A_ROUND == 0:
+            self._step_count += 1
+            if (
+                self._membership_was_committed()
+                or self._step_count % STEPS_PER_RECONCILIATION == 0
+            ):
                 self._reconcile()
 
-    def lose_power(self, vm: str, seconds: float, kept: int = 0) -> None:
-        """Takes the process for a while, and what was not synced.
+    def lose_power(
+        self, vm: str, seconds: float, kept_records: int = 0
+    ) -> None:
+        """Stops a VM for a while, with the loss of its unsynced writes.
 
         Args:
-            vm: Which VM.
-            seconds: For so long.
-            kept: So many records of the write that was under way stay.
+            vm: The VM.
+            seconds: How long the VM is down.
+            kept_records: The number of records of the current write that
+                survive.
         """
-        self.hosts[vm].crash(kept, seconds)
+        self.hosts[vm].crash(kept_records, seconds)
 
     def lose_disk(self, vm: str, seconds: float = 0.0) -> None:
-        """Brings a VM back empty after a while."""
+        """Restarts a VM with an empty disk after `seconds`."""
         self.add(vm).crash(0, seconds)
 
     def _reconcile(self) -> None:
         self._clock.advance(self.now - self._clock.monotonic())
-        up = {vm: host for vm, host in self.hosts.items() if self._is_up(host)}
-        for vm, host in up.items():
+        running = {
+            vm: host for vm, host in self.hosts.items() if self._is_up(host)
+        }
+        for vm, host in running.items():
             if self._engines.get(vm) is not host.engine:
                 self._engines[vm] = host.engine
                 self._managers[vm] = self._new_manager(vm)
             self._managers[vm].set_make_up({GROUP: tuple(self.hosts)})
-        for vm in self.random.sample(sorted(up), len(up)):
-            hosted = _Hosted(up[vm], self.now)
+        for vm in self.random.sample(sorted(running), len(running)):
+            hosted = _HostedReplica(running[vm], self.now)
             if self._managers[vm].needs_discovery(hosted):
-                self._say_hello(hosted, up)
-            if up[vm].engine.role == "leader":
+                self._send_hello(hosted, running)
+            if running[vm].engine.role == "leader":
                 self._managers[vm].reconcile(hosted)
 
-    def _settled(self) -> bool:
-        """Whether the leader may propose the next step of a change."""
+    def _membership_was_committed(self) -> bool:
+        """Returns whether a membership change was newly committed."""
         leader = self.leader()
         if leader is None:
             return False
         index = leader.engine.membership_index
-        settled = self._settled_index < index <= leader.engine.committed
+        settled = (
+            self._reported_membership_index < index <= leader.engine.committed
+        )
         if settled:
-            self._settled_index = index
+            self._reported_membership_index = index
         return settled
 
     def _is_up(self, host: simulated_group.Host) -> bool:
@@ -145,11 +161,11 @@
             voter_choice.VoterChoice(self._wanted),
         )
 
-    def _say_hello(
-        self, hosted: _Hosted, up: dict[str, simulated_group.Host]
+    def _send_hello(
+        self, hosted: _HostedReplica, running: dict[str, simulated_group.Host]
     ) -> None:
         hello = host_messages.Hello(GROUP, hosted.me, True)
-        for vm, host in up.items():
-            pair = frozenset((vm, hosted.me.vm))
-            if vm in self._managers and self.now >= self.cut.get(pair, 0.0):
-                self._managers[vm].answer(hello, _Hosted(host, self.now))
+        for vm, host in running.items():
+            link = frozenset((vm, hosted.me.vm))
+            if vm in self._managers and self.now >= self.cut.get(link, 0.0):
+                self._managers[vm].answer(hello, _HostedReplica(host, self.now))
--- a/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
+++ b/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
@@ -1,8 +1,9 @@
-"""Disks and power are lost right after a write, while the voters change.
+"""Acknowledged writes survive disk and power losses after membership changes.
 
-A site bears the loss of n disks at once with 2n + 1 voters. Before that, VMs
-come back empty, are replaced, go dark or are cut off, never more than n of
-them at once; a VM counts as lost until it has been back for a while.
+A site with 2n + 1 voters tolerates the simultaneous loss of n disks. Before
+that loss, VMs lose their disks, are replaced, lose power or are partitioned,
+never more than n of them at once. A VM counts as lost until it has been back
+for `RECOVERY_TIME_S`.
 """
 
 import math
@@ -12,124 +13,129 @@
 
 from laburnumsill.consensus.tests import kept_group
 
-CATCH_UP_S = 4.0
-"""A VM counts as lost for so long after it is back."""
+RECOVERY_TIME_S = 4.0
+"""Time after the return of a VM during which it still counts as lost."""
 
-SERVED_AGAIN_S = 8.0
+SERVICE_TIMEOUT_S = 8.0
 SITES = [("abc", 3), ("abcd", 3), ("abcde", 5), ("abcdef", 5)]
-"""The VMs of a site with a disk, and how many of them vote."""
+"""The VMs with a disk of each site, and the number of voters among them."""
 
 SEEDS = int(os.environ.get("LABURNUMSILL_VOTER_SEEDS", "12"))
 
 
-class Day:
-    """Troubles of one group, then a write and the last loss."""
+class Scenario:
+    """Faults in one group, followed by a write and the loss of n disks."""
 
     def __init__(self, vms: str, wanted: int, seed: int) -> None:
-        self.group = kept_group.KeptGroup(vms, wanted, seed)
+        self.group = kept_group.ManagedGroup(vms, wanted, seed)
         self.random = self.group.random
         self.tolerated = wanted // 2
         self.lost_until: dict[str, float] = {}
-        self.names = iter("nopqrstuvwxyz")
+        self.spare_names = iter("nopqrstuvwxyz")
         self.group.load = 0.3
         self.group.run(3.0)
 
-    def lost(self, but: str = "") -> int:
-        """Returns how many VMs count as lost now, one of them left out."""
+    def lost_count(self, excluding: str = "") -> int:
+        """Returns the number of VMs that count as lost, without `excluding`."""
         now = self.group.now
         return sum(
-            until > now for vm, until in self.lost_until.items() if vm != but
+            until > now
+            for vm, until in self.lost_until.items()
+            if vm != excluding
         )
 
-    def count_lost(self, vm: str, seconds: float) -> None:
-        """Counts a VM as lost that is back after so many seconds."""
-        until = self.group.now + seconds + CATCH_UP_S
+    def record_loss(self, vm: str, seconds: float) -> None:
+        """Records the loss of a VM that returns after `seconds`."""
+        until = self.group.now + seconds + RECOVERY_TIME_S
         self.lost_until[vm] = max(self.lost_until.get(vm, 0.0), until)
 
-    def here(self) -> list[str]:
-        """Returns the VMs whose processes run now."""
+    def running_vms(self) -> list[str]:
+        """Returns the VMs whose processes are running."""
         return [vm for vm, host in self.group.hosts.items() if host.engine]
 
-    def left(self) -> list[str]:
-        """Returns the VMs that are not gone for good."""
+    def remaining_vms(self) -> list[str]:
+        """Returns the VMs that run or will return."""
         return [
             vm
             for vm, host in self.group.hosts.items()
             if host.engine or math.isfinite(host.boot_at)
         ]
 
-    def trouble(self) -> None:
-        """Brings one VM into trouble, if the site bears that now."""
+    def inject_fault(self) -> None:
+        """Injects a fault into one VM, if the site tolerates another loss."""
         group = self.group
-        vm = self.random.choice(self.left())
-        if self.lost(but=vm) >= self.tolerated:
+        vm = self.random.choice(self.remaining_vms())
+        if self.lost_count(excluding=vm) >= self.tolerated:
             return
         seconds = self.random.choice((0.1, 1.0, 3.0, 6.0))
-        kind = self.random.choice(("disk", "dark", "cut", "replace"))
-        if kind == "disk":
+        fault = self.random.choice(("disk", "dark", "cut", "replace"))
+        if fault == "disk":
             group.lose_disk(vm, seconds)
-        elif kind == "dark":
+        elif fault == "dark":
             group.lose_power(vm, seconds)
-        elif kind == "cut":
+        elif fault == "cut":
             group.isolate(vm, seconds)
         else:
             seconds = 1.0
             group.lose_power(vm, math.inf)
-            group.lose_disk(next(self.names), seconds)
-        self.count_lost(vm, seconds)
+            group.lose_disk(next(self.spare_names), seconds)
+        self.record_loss(vm, seconds)
 
     def restart_all(self) -> None:
-        """Ends all processes; what they had not synced is gone."""
-        for vm in self.here():
+        """Restarts all processes, with the loss of their unsynced writes."""
+        for vm in self.running_vms():
             seconds = self.random.uniform(0.05, 0.4)
             self.group.hosts[vm].crash(None, seconds)
-            self.count_lost(vm, seconds)
+            self.record_loss(vm, seconds)
 
-    def last_loss(self, most_kept: int) -> None:
-        """Loses n disks and all power right after a write was acknowledged.
+    def final_loss(self, max_kept_records: int) -> None:
+        """Loses n disks and all power right after an acknowledged write.
 
         Args:
-            most_kept: At most so many records that were being written stay.
+            max_kept_records: The largest number of records of a current write
+                that survive on the other disks.
         """
         group = self.group
-        group.run_until(lambda: self.lost() == 0, 30.0)
+        group.run_until(lambda: self.lost_count() == 0, 30.0)
         operation = None
         while operation is None or not operation.done:
             operation = group.write(group.elect(), b"acknowledged")
             if operation is not None:
                 group.run_until(
-                    lambda one=operation: one.done or not group.leader()
+                    lambda operation=operation: (
+                        operation.done or not group.leader()
+                    )
                 )
-        here = self.here()
-        gone = self.random.sample(here, self.tolerated)
-        for vm in here:
+        running_vms = self.running_vms()
+        lost_disks = self.random.sample(running_vms, self.tolerated)
+        for vm in running_vms:
             seconds = self.random.uniform(0.1, 0.6)
-            if vm in gone:
+            if vm in lost_disks:
                 group.lose_disk(vm, seconds)
             else:
-                kept = self.random.randint(0, most_kept)
-                group.lose_power(vm, seconds, kept)
+                kept_records = self.random.randint(0, max_kept_records)
+                group.lose_power(vm, seconds, kept_records)
 
-    def check_served(self) -> None:
-        """What was acknowledged can be read, and something be written."""
+    def check_service(self) -> None:
+        """Checks that acknowledged writes can be read, and a write succeeds."""
         group = self.group
         group.load = 0.0
-        group.until_read(SERVED_AGAIN_S)
+        group.until_read(SERVICE_TIMEOUT_S)
         operation = group.write(group.elect(), b"last")
         group.run_until(lambda: operation.done)
 
 
-@pytest.mark.parametrize("most_kept", [0, 4])
+@pytest.mark.parametrize("max_kept_records", [0, 4])
 @pytest.mark.parametrize(("vms", "wanted"), SITES)
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_what_was_acknowledged_is_read_after_voters_changed(
-    vms, wanted, seed, most_kept
+    vms, wanted, seed, max_kept_records
 ):
-    day = Day(vms, wanted, seed)
-    for _ in range(day.random.randint(2, 8)):
-        day.trouble()
-        if day.random.random() < 0.15:
-            day.restart_all()
-        day.group.run(day.random.choice((0.2, 0.5, 1.5, 4.0)))
-    day.last_loss(most_kept)
-    day.check_served()
+    scenario = Scenario(vms, wanted, seed)
+    for _ in range(scenario.random.randint(2, 8)):
+        scenario.inject_fault()
+        if scenario.random.random() < 0.15:
+            scenario.restart_all()
+        scenario.group.run(scenario.random.choice((0.2, 0.5, 1.5, 4.0)))
+    scenario.final_loss(max_kept_records)
+    scenario.check_service()
--- a/laburnumsill/consensus/tests/test_group_make_up.py
+++ b/laburnumsill/consensus/tests/test_group_make_up.py
@@ -1,4 +1,4 @@
-"""Which disks a membership counts on while its members change."""
+"""Membership changes: the record of disks, and the order of the changes."""
 
 import pytest
 
@@ -6,14 +6,14 @@
 from laburnumsill.consensus import types
 
 A, B, C, D = (types.ReplicaId(vm, "1") for vm in "abcd")
-C_AGAIN = types.ReplicaId("c", "2")
+C2 = types.ReplicaId("c", "2")
 
 
 def view(membership, desired, candidates=(), caught_up=(), disks=""):
     return group_make_up.MembershipView(
         membership,
         list(desired),
-        {one.replica.vm: one for one in candidates},
+        {request.replica.vm: request for request in candidates},
         frozenset(caught_up),
         frozenset({A, B, *caught_up}),
         frozenset(disks),
@@ -21,8 +21,8 @@
 
 
 @pytest.mark.parametrize("disks", ["", "ab"])
-def test_the_disk_of_a_learner_counts_though_another_vm_leads_meanwhile(disks):
-    """The next leader never heard the learner ask to join."""
+def test_the_disk_of_a_learner_counts_after_a_leader_change(disks):
+    """The new leader has not received the join request of the learner."""
     membership = types.Membership((A, B, C), (D,), frozenset("abcd"))
     change = group_make_up.next_change(
         view(membership, "abd", caught_up=(D,), disks=disks)
@@ -31,39 +31,39 @@
     assert change.with_disk == frozenset("abcd")
 
 
-def test_a_disk_that_was_lost_counts_again_though_another_vm_leads():
-    membership = types.Membership((A, B, C), (C_AGAIN,), frozenset("abc"))
+def test_a_replaced_disk_counts_after_a_leader_change():
+    membership = types.Membership((A, B, C), (C2,), frozenset("abc"))
     while (
         change := group_make_up.next_change(
-            view(membership, "abc", caught_up=(C_AGAIN,))
+            view(membership, "abc", caught_up=(C2,))
         )
     ) is not None:
         membership = change
-    assert membership.voters == (A, B, C_AGAIN)
+    assert membership.voters == (A, B, C2)
     assert membership.with_disk == frozenset("abc")
 
 
-def test_a_replica_without_a_disk_takes_the_mark_of_the_one_before_away():
-    membership = types.Membership((A, B), (C_AGAIN,), frozenset("abc"))
-    asked = group_make_up.JoinRequest(C_AGAIN, False)
+def test_a_successor_without_a_disk_clears_the_disk_record():
+    membership = types.Membership((A, B), (C2,), frozenset("abc"))
+    request = group_make_up.JoinRequest(C2, False)
     change = group_make_up.next_change(
-        view(membership, "abc", [asked], caught_up=(C_AGAIN,))
+        view(membership, "abc", [request], caught_up=(C2,))
     )
     assert change.with_disk == frozenset("ab")
 
 
-def test_a_dead_voter_leaves_before_the_next_spare_votes():
-    """There is never more than one voter above those that are wanted."""
+def test_a_failed_voter_is_removed_before_the_next_promotion():
+    """There is never more than one voter above the desired number."""
     replicas = [types.ReplicaId(vm, "1") for vm in "abcdefg"]
     membership = types.Membership(
         tuple(replicas[:5]), tuple(replicas[5:]), frozenset("abcdefg")
     )
-    here = frozenset(replicas[2:])
+    alive = frozenset(replicas[2:])
     sizes = []
     while (
         change := group_make_up.next_change(
             group_make_up.MembershipView(
-                membership, list("cdefg"), {}, here, here, frozenset()
+                membership, list("cdefg"), {}, alive, alive, frozenset()
             )
         )
     ) is not None:
--- a/laburnumsill/consensus/tests/test_host.py
+++ b/laburnumsill/consensus/tests/test_host.py
@@ -1,4 +1,4 @@
-"""Hosts on loopback TCP: founding, serving and restarts."""
+"""Hosts on loopback TCP: bootstrap, requests, restarts and transfers."""
 
 import pytest
 import trio
@@ -22,7 +22,9 @@
     return make
 
 
-async def test_three_found_the_groups_and_any_vm_serves(make_cluster):
+async def test_initial_voters_bootstrap_a_group_that_every_vm_can_use(
+    make_cluster,
+):
     cluster = make_cluster("DDMM")
     await cluster.start()
     for place in range(4):
@@ -36,7 +38,7 @@
     assert founded == {("vm0", "vm1", "vm2")}
 
 
-async def test_nothing_is_founded_while_a_first_voter_is_silent(make_cluster):
+async def test_no_bootstrap_without_all_initial_voters(make_cluster):
     cluster = make_cluster()
     await cluster.start(0, 1)
     with pytest.raises(errors.NoQuorumError):
@@ -46,7 +48,7 @@
     await cluster.add(0, "k")
 
 
-async def test_the_rest_goes_on_when_the_leader_stops(make_cluster):
+async def test_the_group_continues_after_the_leader_stops(make_cluster):
     cluster = make_cluster()
     await cluster.start()
     await cluster.add(0, "before")
@@ -61,7 +63,9 @@
     assert leader.keys() == ["before", "after"]
 
 
-async def test_without_a_majority_a_proposal_is_truthfully_ended(make_cluster):
+async def test_without_a_majority_each_proposal_fails_with_its_outcome(
+    make_cluster,
+):
     cluster = make_cluster()
     await cluster.start()
     await cluster.add(0, "k")
@@ -79,7 +83,7 @@
         await cluster.seen(place, within=0.5)
 
 
-async def test_a_memory_replica_comes_back_as_another(make_cluster):
+async def test_a_restarted_memory_replica_gets_a_new_incarnation(make_cluster):
     cluster = make_cluster("DMM")
     await cluster.start()
     await cluster.add(0, "k")
@@ -94,7 +98,7 @@
         assert node.status().voters.count(node.vm.vm_id) == 1
 
 
-async def test_all_disks_restart_with_everything(make_cluster):
+async def test_disk_replicas_keep_their_logs_over_a_full_restart(make_cluster):
     cluster = make_cluster()
     await cluster.start()
     await cluster.add(1, *(f"k{n}" for n in range(20)))
@@ -106,7 +110,7 @@
     assert incarnations == [node.incarnation() for node in cluster.nodes]
 
 
-async def test_a_restart_of_all_needs_only_the_disk(make_cluster):
+async def test_one_disk_restores_the_group_after_a_full_restart(make_cluster):
     cluster = make_cluster("DMM")
     await cluster.start()
     await cluster.add(1, "k1", "k2")
@@ -139,8 +143,10 @@
 
 
 async def test_who_leads_has_applied_all_that_was_acknowledged(make_cluster):
-    """Without a snapshot a replica begins empty, and applies what a leader
-    has committed anew."""
+    """A restarted replica without a snapshot has an empty state machine.
+
+    It must not count as the leader before it has applied its log again.
+    """
     cluster = make_cluster()
     await cluster.start()
     keys = [f"k{number}" for number in range(50)]
--- a/laburnumsill/consensus/tests/test_host_repair.py
+++ b/laburnumsill/consensus/tests/test_host_repair.py
@@ -1,4 +1,4 @@
-"""Hosts whose stores are lost or damaged, and groups that change."""
+"""Lost, damaged and slow stores, and changes of the voters, over TCP."""
 
 import shutil
 import time
@@ -32,7 +32,7 @@
     return max(folder.glob("log-*"), key=lambda path: path.stat().st_size)
 
 
-async def running(cluster, *keys):
+async def start_with_keys(cluster, *keys):
     """Starts all VMs and adds `keys`."""
     await cluster.start()
     await cluster.add(0, *keys)
@@ -41,7 +41,7 @@
 
 async def test_a_lost_disk_comes_back_as_another_replica(make_cluster):
     cluster = make_cluster()
-    await running(cluster, *KEYS)
+    await start_with_keys(cluster, *KEYS)
     for place in (0, 1):
         node = cluster.nodes[place]
         before = node.incarnation()
@@ -53,9 +53,11 @@
         assert node.keys() == KEYS
 
 
-async def test_a_torn_tail_is_cut_and_the_replica_goes_on(make_cluster):
+async def test_a_torn_record_is_truncated_and_the_replica_keeps_its_identity(
+    make_cluster,
+):
     cluster = make_cluster()
-    await running(cluster, *KEYS)
+    await start_with_keys(cluster, *KEYS)
     node = cluster.nodes[1]
     before = node.incarnation()
     await node.stop()
@@ -69,9 +71,9 @@
     assert node.keys() == [*KEYS, "missed"]
 
 
-async def test_a_damaged_log_is_set_aside_and_repaired(make_cluster):
+async def test_a_damaged_store_is_set_aside_and_replicated_again(make_cluster):
     cluster = make_cluster()
-    await running(cluster, *KEYS)
+    await start_with_keys(cluster, *KEYS)
     node = cluster.nodes[1]
     before = node.incarnation()
     await node.stop()
@@ -89,7 +91,7 @@
 async def test_who_missed_hundreds_of_entries_gets_a_snapshot(make_cluster):
     limits = host.SnapshotLimits(entries=50)
     cluster = make_cluster("DDM", limits)
-    await running(cluster, "first")
+    await start_with_keys(cluster, "first")
     for place in (1, 2):
         node = cluster.nodes[place]
         await node.stop()
@@ -133,28 +135,28 @@
     assert await cluster.seen(place) == [*KEYS, "after"]
 
 
-async def test_a_replica_that_is_replaced_while_it_runs_retires(make_cluster):
+async def test_a_running_replica_retires_after_its_replacement(make_cluster):
     cluster = make_cluster("DDDDD")
     await cluster.start()
     await cluster.add(0, *KEYS)
     voters = cluster.leader().status().voters
-    gone = cluster.leader()
+    replaced = cluster.leader()
     spare = next(n for n in cluster.nodes if n.vm.vm_id not in voters)
-    kept = [vm for vm in voters if vm != gone.vm.vm_id]
-    make_up = {host_cluster.ROOT: [*kept, spare.vm.vm_id]}
+    remaining = [vm for vm in voters if vm != replaced.vm.vm_id]
+    make_up = {host_cluster.ROOT: [*remaining, spare.vm.vm_id]}
     for node in cluster.nodes:
         node.host.set_make_up(make_up)
     await cluster.until(
-        lambda: gone.host.local(host_cluster.ROOT) is None, within=15
+        lambda: replaced.host.local(host_cluster.ROOT) is None, within=15
     )
-    assert await cluster.seen(cluster.nodes.index(gone)) == KEYS
-    assert set(cluster.leader().status().voters) == {*kept, spare.vm.vm_id}
-    assert list(gone.folder.glob("groups/root.set-aside*"))
+    assert await cluster.seen(cluster.nodes.index(replaced)) == KEYS
+    assert set(cluster.leader().status().voters) == {*remaining, spare.vm.vm_id}
+    assert list(replaced.folder.glob("groups/root.set-aside*"))
 
 
 async def test_a_restart_of_all_does_not_take_a_repair_back(make_cluster):
     cluster = make_cluster("DDDD")
-    await running(cluster, *KEYS)
+    await start_with_keys(cluster, *KEYS)
     voters = cluster.leader().status().voters
     spare = next(n for n in cluster.nodes if n.vm.vm_id not in voters)
     wanted = {*voters[:2], spare.vm.vm_id}
@@ -166,8 +168,8 @@
         return leader is not None and set(leader.status().voters) == wanted
 
     def committed():
-        # A change of the voters is in effect before it is committed, and one
-        # that is not committed may be lost: that is no repair yet.
+        # A membership change takes effect before it is committed, and an
+        # uncommitted one may be lost, so wait for its commit.
         engine = cluster.leader().host._hosted(host_cluster.ROOT).engine
         return engine.committed >= engine.membership_index
 
@@ -182,7 +184,7 @@
 
 
 def slow_down(monkeypatch, node, seconds):
-    """Makes each sync of one VM's stores take longer."""
+    """Delays each sync of one VM's stores."""
     real = durable_files.sync
 
     def sync(descriptor, path):
@@ -193,11 +195,11 @@
     monkeypatch.setattr(durable_files, "sync", sync)
 
 
-async def test_a_slow_disk_costs_neither_lead_nor_commits(
+async def test_a_slow_leader_disk_keeps_leadership_and_commits(
     make_cluster, monkeypatch
 ):
     cluster = make_cluster()
-    await running(cluster, "k")
+    await start_with_keys(cluster, "k")
     leader = cluster.leader()
     term = leader.status().term
     slow_down(monkeypatch, leader, 4 * host_cluster.OPTIONS.election_timeout_s)
@@ -210,7 +212,7 @@
 
 async def test_a_failed_sync_ends_the_host(make_cluster, monkeypatch):
     cluster = make_cluster()
-    await running(cluster, "k")
+    await start_with_keys(cluster, "k")
     node = cluster.leader()
     real = durable_files.sync
 
--- a/laburnumsill/consensus/tests/test_host_rules.py
+++ b/laburnumsill/consensus/tests/test_host_rules.py
@@ -1,4 +1,4 @@
-"""When a group may be founded, recovered or changed."""
+"""Rules for the bootstrap, recovery and membership changes of a group."""
 
 import dataclasses
 
@@ -22,7 +22,7 @@
     return host_messages.HelloAnswer(replica, **fields)
 
 
-def test_a_group_is_founded_only_when_all_first_voters_are_fresh():
+def test_bootstrap_requires_all_initial_voters_to_be_fresh():
     fresh = {"b": answer(B, fresh=True), "c": answer(C, fresh=True)}
 
     def found(answers):
@@ -35,79 +35,88 @@
     assert found({**fresh, "c": host_messages.HelloAnswer()}) is None
 
 
-OLD = answer(A, term=4, last_term=3, last_index=9)
-LOST = {"b": answer(B2, fresh=True), "c": answer(C2, fresh=True)}
+OWN_ANSWER = answer(A, term=4, last_term=3, last_index=9)
+LOST_ANSWERS = {"b": answer(B2, fresh=True), "c": answer(C2, fresh=True)}
 
 
-def test_a_group_goes_on_from_its_only_disk():
-    found = host_recovery.recovery_membership(DISK_A, OLD, LOST)
+def test_the_only_disk_recovers_the_group():
+    found = host_recovery.recovery_membership(DISK_A, OWN_ANSWER, LOST_ANSWERS)
     assert found == (5, types.Membership((A,), (), frozenset("a")))
 
 
 @pytest.mark.parametrize(
-    ("made_of", "answers"),
+    ("membership_at_loss", "answers"),
     [
-        (DISK_A, {"b": LOST["b"]}),
-        (DISK_A, {**LOST, "c": answer(C)}),
-        (DISK_A, {**LOST, "d": answer(D, leader="d")}),
-        (DISK_A, {**LOST, "c": host_messages.HelloAnswer()}),
-        (types.Membership((A, B, C), (), frozenset("ab")), LOST),
-        (types.Membership((A, B, C)), LOST),
+        (DISK_A, {"b": LOST_ANSWERS["b"]}),
+        (DISK_A, {**LOST_ANSWERS, "c": answer(C)}),
+        (DISK_A, {**LOST_ANSWERS, "d": answer(D, leader="d")}),
+        (DISK_A, {**LOST_ANSWERS, "c": host_messages.HelloAnswer()}),
+        (types.Membership((A, B, C), (), frozenset("ab")), LOST_ANSWERS),
+        (types.Membership((A, B, C)), LOST_ANSWERS),
     ],
 )
-def test_a_group_is_not_recovered_where_that_could_lose_something(
-    made_of, answers
+def test_no_recovery_if_an_acknowledged_entry_could_be_lost(
+    membership_at_loss, answers
 ):
-    assert host_recovery.recovery_membership(made_of, OLD, answers) is None
+    assert (
+        host_recovery.recovery_membership(
+            membership_at_loss, OWN_ANSWER, answers
+        )
+        is None
+    )
 
 
-def test_the_newest_survivor_recovers():
+def test_the_survivor_with_the_newest_log_recovers():
     voters = tuple(types.ReplicaId(vm, "1") for vm in "abcde")
     five = types.Membership(voters, (), frozenset("ab"))
     lost = {vm: answer(types.ReplicaId(vm, "2"), fresh=True) for vm in "cde"}
     newer = answer(B, term=6, last_term=4, last_index=2)
-    at_a = host_recovery.recovery_membership(five, OLD, {**lost, "b": newer})
-    at_b = host_recovery.recovery_membership(five, newer, {**lost, "a": OLD})
+    at_a = host_recovery.recovery_membership(
+        five, OWN_ANSWER, {**lost, "b": newer}
+    )
+    at_b = host_recovery.recovery_membership(
+        five, newer, {**lost, "a": OWN_ANSWER}
+    )
     assert at_a is None
     left = types.Membership((A, B), (), frozenset("ab"))
     assert at_b == (7, left)
 
 
 @dataclasses.dataclass
-class Made:
-    """A group whose every change is committed at once."""
+class CommittingGroup:
+    """A group whose membership changes are all committed at once."""
 
-    present: types.Membership
+    current: types.Membership
     desired: list[str]
-    here: dict[str, types.ReplicaId]
+    running: dict[str, types.ReplicaId]
 
     def run(self) -> types.Membership:
-        for turn in range(40):
-            known = {*self.present.voters, *self.present.learners}
-            there = frozenset(known & set(self.here.values()))
+        for step in range(40):
+            known = {*self.current.voters, *self.current.learners}
+            reachable = frozenset(known & set(self.running.values()))
             view = group_make_up.MembershipView(
-                self.present,
+                self.current,
                 self.desired,
                 {
                     vm: group_make_up.JoinRequest(replica, vm in "abc")
-                    for vm, replica in self.here.items()
+                    for vm, replica in self.running.items()
                 },
-                there if turn > 10 else frozenset(),
-                there,
+                reachable if step > 10 else frozenset(),
+                reachable,
                 frozenset("abc"),
             )
             change = group_make_up.next_change(view)
             if change is None:
                 continue
-            membership.check_change(self.present, change)
+            membership.check_change(self.current, change)
             self.check(change)
-            self.present = change
-        return self.present
+            self.current = change
+        return self.current
 
     def check(self, change: types.Membership) -> None:
-        alive = sum(v in self.here.values() for v in change.voters)
+        alive = sum(v in self.running.values() for v in change.voters)
         assert alive > len(change.voters) // 2
-        lost = sum(v not in self.here.values() for v in DISK_A.voters)
+        lost = sum(v not in self.running.values() for v in DISK_A.voters)
         assert len(change.voters) >= 3 - lost
         for voter in set(change.voters) & set(DISK_A.voters):
             assert (voter.vm in change.with_disk) == (voter == A)
@@ -118,23 +127,27 @@
     strategies.sets(strategies.sampled_from("abcde"), max_size=5),
     strategies.booleans(),
 )
-def test_any_make_up_is_reached_one_voter_at_a_time(order, renewed, odd):
-    """One old voter at most is lost; the rest is there throughout."""
-    lost = [vm for vm in "abc" if vm in renewed][:1]
-    here = {vm: types.ReplicaId(vm, "1") for vm in "abcde"}
+def test_desired_voters_are_reached_by_single_changes(
+    order, lost_vms, five_voters
+):
+    """At most one initial voter is lost; all other replicas stay reachable."""
+    lost = [vm for vm in "abc" if vm in lost_vms][:1]
+    running = {vm: types.ReplicaId(vm, "1") for vm in "abcde"}
     for vm in lost:
-        here[vm] = types.ReplicaId(vm, "2")
-    desired = list(order[: 5 if odd else 3])
-    reached = Made(DISK_A, desired, here).run()
+        running[vm] = types.ReplicaId(vm, "2")
+    desired = list(order[: 5 if five_voters else 3])
+    reached = CommittingGroup(DISK_A, desired, running).run()
     assert {voter.vm for voter in reached.voters} == set(desired)
-    assert set(reached.voters) <= set(here.values())
+    assert set(reached.voters) <= set(running.values())
     assert reached.learners == ()
     old = {voter.vm for voter in reached.voters if voter in DISK_A.voters}
     new = {voter.vm for voter in reached.voters} - old
     assert reached.with_disk == (old & {"a"}) | (new & set("abc"))
 
 
-def test_a_group_that_the_make_up_lacks_is_left_alone():
-    here = frozenset(DISK_A.voters)
-    view = group_make_up.MembershipView(DISK_A, (), {}, here, here, frozenset())
+def test_without_desired_voters_nothing_changes():
+    running = frozenset(DISK_A.voters)
+    view = group_make_up.MembershipView(
+        DISK_A, (), {}, running, running, frozenset()
+    )
     assert group_make_up.next_change(view) is None
