--- a/laburnumsill/consensus/group.py
+++ b/laburnumsill/consensus/group.py
@@ -80,12 +80,15 @@
         self._clock = clock
         self._options = options
         self._limits = limits
-        self._random = rng
+        self._rng = rng
         self._hard_state = replica_store.stored.hard_state
         self._applier = group_apply.Applier(name, machine, replica_store.stored)
         self._proposals = group_waiters.PendingProposals(name)
         self._reads = group_waiters.PendingReads(name)
-        self._pending: list[store.Change] = []
+        self._pending_changes: list[store.Change] = []
+        # Changes are numbered in the order in which they are queued. These are
+        # the numbers of the last queued and stored change, and of the last one
+        # with a hard state.
         self._queued_changes = 0
         self._stored_changes = 0
         self._hard_state_change = 0
@@ -94,7 +97,7 @@
         self._change_stored = trio.Event()
         self._is_bootstrapping = False
         self._next_snapshot_at = -math.inf
-        self._leadership = group_lead.LeadershipTracker(name)
+        self._leadership = group_lead.LeadershipState(name)
         self._reported_membership_index = 0
         self._engine = self._new_engine(replica_store.stored)
 
@@ -173,10 +176,10 @@
         """Advances the clock of the engine."""
         if self._is_bootstrapping:
             return
-        moment = group_ticks.moment(
+        tick_time = group_ticks.moment(
             now, self._engine.next_tick(), self._options.heartbeat_s, self.leads
         )
-        self._engine.tick(moment)
+        self._engine.tick(tick_time)
 
     def step(self, message: types.Message) -> None:
         """Passes a message to the engine."""
@@ -243,9 +246,11 @@
         if self._hard_state.term:
             hard_state = self._hard_state
         self._is_bootstrapping = True
-        self._queue(store.Change(hard_state=hard_state, entries=(entry,)))
+        self._queue_change(
+            store.Change(hard_state=hard_state, entries=(entry,))
+        )
         if not self.with_disk:
-            self._commit_now()
+            self._store_now()
         while self._stored_changes < self._queued_changes:
             await self._change_stored.wait()
         self._engine = self._new_engine(
@@ -294,7 +299,7 @@
             if output == _NOTHING:
                 break
             self._execute(output)
-        self._release()
+        self._release_messages()
         self._update_leadership()
         self._snapshot_if_due()
 
@@ -384,7 +389,7 @@
             stored,
             self._options,
             self._clock.monotonic(),
-            self._random,
+            self._rng,
         )
 
     def _execute(self, output: types.Output) -> None:
@@ -397,22 +402,22 @@
             output.hard_state, output.install, False, output.append
         )
         if not change.is_empty:
-            self._queue(change)
+            self._queue_change(change)
         for message in output.messages:
             self._held_messages.add(self._required_change(message), message)
         if not self.with_disk:
-            self._commit_now()
+            self._store_now()
         for entry in output.committed:
             outcome = self._applier.apply(entry)
             self._proposals.resolve(entry.index, entry.term, outcome)
         for read in output.reads:
-            self._answer(read)
+            self._answer_read(read)
         for read_id in output.lost_reads:
             self._reads.fail(read_id)
 
-    def _queue(self, change: store.Change) -> None:
+    def _queue_change(self, change: store.Change) -> None:
         self._queued_changes += 1
-        self._pending.append(change)
+        self._pending_changes.append(change)
         if change.hard_state is not None:
             self._hard_state = change.hard_state
             self._hard_state_change = self._queued_changes
@@ -425,11 +430,11 @@
         return self._queued_changes
 
     def _take_pending(self) -> list[store.Change]:
-        changes = self._pending
-        self._pending = []
+        changes = self._pending_changes
+        self._pending_changes = []
         return changes
 
-    def _commit_now(self) -> None:
+    def _store_now(self) -> None:
         changes = self._take_pending()
         if changes:
             self._store.commit(changes)
@@ -445,13 +450,13 @@
                 self._engine.synced(last.index, last.term)
                 break
 
-    def _release(self) -> None:
+    def _release_messages(self) -> None:
         """Releases the held messages whose changes are stored."""
         self.outgoing += self._held_messages.release(
             self._stored_changes, self.writable
         )
 
-    def _answer(self, read: types.ConfirmedRead) -> None:
+    def _answer_read(self, read: types.ConfirmedRead) -> None:
         pending = self._reads.pop(read.read_id)
         if pending is not None:
             query, waiter = pending
@@ -483,9 +488,9 @@
         )
         self._applier.snapshot_index = index
         self._engine.compact(snapshot)
-        self._queue(store.Change(snapshot=snapshot))
+        self._queue_change(store.Change(snapshot=snapshot))
         if not self.with_disk:
-            self._commit_now()
+            self._store_now()
 
 
 _NOTHING = types.Output()
--- a/laburnumsill/consensus/group_lead.py
+++ b/laburnumsill/consensus/group_lead.py
@@ -6,8 +6,8 @@
 from laburnumsill.core import logs
 
 
-class LeadershipTracker:
-    """Tracks whether one replica leads, and logs the changes.
+class LeadershipState:
+    """Whether one replica leads, and in which term; logs the changes.
 
     Args:
         group: The name of the group.
@@ -16,13 +16,13 @@
     def __init__(self, group: str) -> None:
         self._group = group
         self._term = 0
-        self._confirmed = False
-        self._ended = trio.Event()
+        self._has_committed = False
+        self._ended_event = trio.Event()
 
     async def wait_ended(self) -> None:
         """Waits until the leadership has ended; returns at once without it."""
         if self._term:
-            await self._ended.wait()
+            await self._ended_event.wait()
 
     def update(self, engine: engines.Engine) -> bool:
         """Records and logs changes since the last call.
@@ -30,27 +30,27 @@
         Returns:
             Whether a leadership has ended since then.
         """
-        lost = False
+        ended = False
         term = engine.term if engine.role == "leader" else 0
         if term != self._term:
-            lost = bool(self._term)
+            ended = bool(self._term)
             self._on_change(term, engine)
-        if term and engine.leads_committed and not self._confirmed:
-            self._confirmed = True
+        if term and engine.leads_committed and not self._has_committed:
+            self._has_committed = True
             logs.event(
                 "group-lead-confirmed",
                 group=self._group,
                 term=term,
                 committed=engine.committed,
             )
-        return lost
+        return ended
 
     def _on_change(self, term: int, engine: engines.Engine) -> None:
         if self._term:
-            self._ended.set()
-            self._ended = trio.Event()
+            self._ended_event.set()
+            self._ended_event = trio.Event()
         self._term = term
-        self._confirmed = False
+        self._has_committed = False
         membership = engine.membership
         logs.event(
             "group-lead",
--- a/laburnumsill/consensus/host.py
+++ b/laburnumsill/consensus/host.py
@@ -115,7 +115,7 @@
         """
         try:
             async with trio.open_nursery() as nursery:
-                for name in self._initial_groups():
+                for name in self._groups_at_start():
                     await self._replicas.open(name, nursery)
                 nursery.start_soon(self._replicas.drive)
                 nursery.start_soon(self._reconcile_loop, nursery)
@@ -140,7 +140,7 @@
         request = host_forward.LeaderRequest(
             group,
             forwarded.ForwardedProposal(group, raw, wall),
-            functools.partial(self._propose_here, group, raw),
+            functools.partial(self._propose_locally, group, raw),
             deadline,
         )
         return await self._forwarder.forward(request)
@@ -153,7 +153,7 @@
         request = host_forward.LeaderRequest(
             group,
             forwarded.ForwardedQuery(group, codec.encode(query), wall),
-            functools.partial(self._query_here, group, query),
+            functools.partial(self._query_locally, group, query),
             deadline,
             read_only=True,
         )
@@ -222,7 +222,7 @@
             group: The name of the group.
             vm: The new leader, or None for the reachable voter with the most
                 entries.
-            deadline: Monotonic time.
+            deadline: When the transfer fails, in monotonic seconds.
 
         Raises:
             engines.NoSuchVoterError: There is no voter on `vm`.
@@ -232,7 +232,7 @@
         request = host_forward.LeaderRequest(
             group,
             host_messages.TransferOrder(group, vm, wall),
-            functools.partial(self._transfer_here, group, vm),
+            functools.partial(self._transfer_locally, group, vm),
             deadline,
         )
         await self._forwarder.forward(request)
@@ -248,7 +248,7 @@
 
     async def _transfer_one(self, name: str, deadline: float) -> None:
         try:
-            await self._transfer_here(name, None, deadline)
+            await self._transfer_locally(name, None, deadline)
             logs.event("lead-handed-over", group=name)
         except errors.LaburnumsillError as error:
             logs.event(
@@ -259,13 +259,13 @@
                 detail=error.detail,
             )
 
-    def _initial_groups(self) -> list[str]:
-        wanted = {
+    def _groups_at_start(self) -> list[str]:
+        groups_here = {
             name
             for name, vms in self._membership_manager.desired_voters.items()
             if self._me.vm_id in vms
         }
-        return sorted(wanted | set(self._replicas.stored_groups()))
+        return sorted(groups_here | set(self._replicas.stored_groups()))
 
     def _leader_of(self, group: str) -> str | None:
         hosted = self._replicas.hosted.get(group)
@@ -289,7 +289,7 @@
             )
         return hosted
 
-    async def _propose_here(
+    async def _propose_locally(
         self, name: str, raw: bytes, deadline: float
     ) -> forwarded.Outcome:
         waiter = self._hosted(name).propose(raw)
@@ -317,13 +317,13 @@
             committed=hosted.engine.committed,
             kept=hosted.synced_index,
             followers=",".join(
-                f"{replica.vm}:{follower.mode.value}:{follower.match}:{follower.next}"
-                f":{follower.idle}"
+                f"{replica.vm}:{follower.mode.value}"
+                f":{follower.match}:{follower.next}:{follower.idle}"
                 for replica, follower in hosted.engine.progress.items()
             ),
         )
 
-    async def _query_here(
+    async def _query_locally(
         self, name: str, query: object, deadline: float
     ) -> forwarded.Outcome:
         waiter = self._hosted(name).read(query)
@@ -333,7 +333,7 @@
         )
         return await waiter.wait(deadline, self._clock, timeout_error)
 
-    async def _transfer_here(
+    async def _transfer_locally(
         self, name: str, vm: str | None, deadline: float
     ) -> forwarded.Outcome:
         hosted = self._hosted(name)
@@ -379,7 +379,7 @@
         self, request: forwarded.ForwardedProposal
     ) -> forwarded.Answer:
         deadline = self._clock.monotonic_deadline(request.deadline)
-        outcome = await self._propose_here(
+        outcome = await self._propose_locally(
             request.group, request.command, deadline
         )
         return host_forward.answer_of(outcome)
@@ -389,21 +389,23 @@
     ) -> forwarded.Answer:
         deadline = self._clock.monotonic_deadline(request.deadline)
         query = codec.decode(request.query)
-        outcome = await self._query_here(request.group, query, deadline)
+        outcome = await self._query_locally(request.group, query, deadline)
         return host_forward.answer_of(outcome)
 
     async def _on_transfer(
         self, request: host_messages.TransferOrder
     ) -> forwarded.Answer:
         deadline = self._clock.monotonic_deadline(request.deadline)
-        outcome = await self._transfer_here(request.group, request.vm, deadline)
+        outcome = await self._transfer_locally(
+            request.group, request.vm, deadline
+        )
         return host_forward.answer_of(outcome)
 
     async def _on_hello(
         self, hello: host_messages.Hello
     ) -> host_messages.HelloAnswer:
         hosted = self._replicas.hosted.get(hello.group)
-        return self._membership_manager.answer(hello, hosted)
+        return self._membership_manager.answer_hello(hello, hosted)
 
     async def _reconcile_loop(self, nursery: trio.Nursery) -> None:
         """Reconciles replicas and memberships with the desired voters."""
@@ -435,13 +437,13 @@
             self._metrics.gauge("group_disk_full", 1, group=name)
 
     def _groups_to_open(self) -> list[str]:
-        wanted = {
+        groups_here = {
             name
             for name, vms in self._membership_manager.desired_voters.items()
             if self._me.vm_id in vms and name not in self._discovering
         }
-        wanted |= self._replicas.waiting_for_space
-        return sorted(wanted - self._replicas.hosted.keys())
+        groups_here |= self._replicas.waiting_for_space
+        return sorted(groups_here - self._replicas.hosted.keys())
 
     async def _discover(self, hosted: groups.HostedGroup) -> None:
         try:
--- a/laburnumsill/consensus/host_members.py
+++ b/laburnumsill/consensus/host_members.py
@@ -56,7 +56,7 @@
     def __init__(
         self,
         me: str,
-        first: abc.Mapping[str, abc.Sequence[str]],
+        initial_voters: abc.Mapping[str, abc.Sequence[str]],
         disks: frozenset[str],
         peers: replication.Peers,
         clock: clocks.Clock,
@@ -66,12 +66,14 @@
         self._me = me
         self._choice = choice
         self._join_requested_at: dict[str, dict[str, float]] = {}
-        self._initial_voters = first
+        self._initial_voters = initial_voters
         self._disks = disks
         self._peers = peers
         self._clock = clock
         self._options = options
-        self._desired_voters = {name: tuple(vms) for name, vms in first.items()}
+        self._desired_voters = {
+            name: tuple(vms) for name, vms in initial_voters.items()
+        }
         self._desired_voters_set = False
         self._join_requests: dict[
             str, dict[str, group_make_up.JoinRequest]
@@ -101,7 +103,7 @@
             name: tuple(vms) for name, vms in desired_voters.items()
         }
 
-    def answer(
+    def answer_hello(
         self,
         hello: host_messages.Hello,
         group: groups.HostedGroup | None,
@@ -141,10 +143,12 @@
             voters, and the replica is fresh or was removed from its group.
         """
         name = group.name
-        first = self._initial_voters.get(name, ())
+        initial_voters = self._initial_voters.get(name, ())
         desired = self._desired_voters.get(name, ())
         voters = group.engine.membership.voters
-        vms = dict.fromkeys([*first, *desired, *(v.vm for v in voters)])
+        vms = dict.fromkeys(
+            [*initial_voters, *desired, *(v.vm for v in voters)]
+        )
         vms.pop(self._me, None)
         hello = host_messages.Hello(name, group.me, group.with_disk)
         deadline = self._clock.monotonic() + HELLO_TIMEOUT_S
@@ -152,7 +156,7 @@
         self._record_leader(name, answers)
         if group.is_fresh and self._is_bootstrap_vm(name):
             membership = founding.initial_membership(
-                group.me, group.with_disk, first, answers
+                group.me, group.with_disk, initial_voters, answers
             )
             if membership is not None:
                 await group.bootstrap(membership)
@@ -235,8 +239,8 @@
             return self._choice.desired(self._voter_view(group))
         membership = group.engine.membership
         members = [m.vm for m in membership.voters + membership.learners]
-        first = self._initial_voters.get(group.name, ())
-        if self._desired_voters_set or set(members) <= set(first):
+        initial_voters = self._initial_voters.get(group.name, ())
+        if self._desired_voters_set or set(members) <= set(initial_voters):
             return self._desired_voters.get(group.name, ())
         return tuple(dict.fromkeys(members))
 
@@ -255,10 +259,10 @@
         )
 
     def _is_bootstrap_vm(self, name: str) -> bool:
-        first = self._initial_voters.get(name, ())
-        if self._me not in first:
+        initial_voters = self._initial_voters.get(name, ())
+        if self._me not in initial_voters:
             return False
-        return founding.bootstrap_vm(first, self._disks) == self._me
+        return founding.bootstrap_vm(initial_voters, self._disks) == self._me
 
     def _view(self, group: groups.HostedGroup) -> group_make_up.MembershipView:
         engine = group.engine
@@ -286,7 +290,7 @@
 
 
 def _hello_answer(
-    group: groups.HostedGroup, asker: types.ReplicaId
+    group: groups.HostedGroup, sender: types.ReplicaId
 ) -> host_messages.HelloAnswer:
     engine = group.engine
     membership = engine.membership
@@ -294,7 +298,7 @@
         replica=group.me,
         fresh=group.is_fresh,
         with_disk=group.with_disk,
-        member=asker in membership.voters + membership.learners,
+        member=sender in membership.voters + membership.learners,
         leader=engine.leader.vm if engine.leader else None,
         term=engine.term,
         last_term=engine.term_at(engine.last_index) or 0,
--- a/laburnumsill/consensus/tests/kept_group.py
+++ b/laburnumsill/consensus/tests/kept_group.py
@@ -140,12 +140,12 @@
         if leader is None:
             return False
         index = leader.engine.membership_index
-        settled = (
+        committed = (
             self._reported_membership_index < index <= leader.engine.committed
         )
-        if settled:
+        if committed:
             self._reported_membership_index = index
-        return settled
+        return committed
 
     def _is_up(self, host: simulated_group.Host) -> bool:
         return host.engine is not None and self.now >= host.paused_until
@@ -168,4 +168,6 @@
         for vm, host in running.items():
             link = frozenset((vm, hosted.me.vm))
             if vm in self._managers and self.now >= self.cut.get(link, 0.0):
-                self._managers[vm].answer(hello, _HostedReplica(host, self.now))
+                self._managers[vm].answer_hello(
+                    hello, _HostedReplica(host, self.now)
+                )
--- a/laburnumsill/consensus/tests/test_host_group.py
+++ b/laburnumsill/consensus/tests/test_host_group.py
@@ -192,12 +192,18 @@
         sent += replica.step(Kind.PRE_VOTE, VM3, **ask)
     assert set(sent) == {Kind.HEARTBEAT_REPLY}
     assert replica.group.engine.last_index == 3
-    assert len(replica.group._pending) + len(replica.group._held_messages) <= 2
+    assert (
+        len(replica.group._pending_changes) + len(replica.group._held_messages)
+        <= 2
+    )
     assert replica_store.attempts <= 3
     for _ in range(100):
         assert replica.step(Kind.HEARTBEAT, VM3, term=2) == []
     assert replica.group.engine.leader == VM3
-    assert len(replica.group._pending) + len(replica.group._held_messages) <= 2
+    assert (
+        len(replica.group._pending_changes) + len(replica.group._held_messages)
+        <= 2
+    )
     replica_store.full = False
     with trio.fail_after(2 * store.RETRY_S):
         while not replica.group.writable:  # noqa: ASYNC110
--- a/laburnumsill/consensus/tests/test_host_repair.py
+++ b/laburnumsill/consensus/tests/test_host_repair.py
@@ -117,14 +117,15 @@
     lost = cluster.nodes[int(voters[2][2:])]
     spare = next(n for n in cluster.nodes if n.vm.vm_id not in voters)
     await lost.stop()
-    make_up = {host_cluster.ROOT: [*voters[:2], spare.vm.vm_id]}
+    desired_voters = {host_cluster.ROOT: [*voters[:2], spare.vm.vm_id]}
     for node in cluster.nodes:
         if node is not lost:
-            node.host.set_make_up(make_up)
+            node.host.set_make_up(desired_voters)
     await cluster.until(
         lambda: (
             (leader := cluster.leader()) is not None
-            and set(leader.status().voters) == set(make_up[host_cluster.ROOT])
+            and set(leader.status().voters)
+            == set(desired_voters[host_cluster.ROOT])
             and not leader.status().learners
         )
     )
@@ -143,9 +144,9 @@
     replaced = cluster.leader()
     spare = next(n for n in cluster.nodes if n.vm.vm_id not in voters)
     remaining = [vm for vm in voters if vm != replaced.vm.vm_id]
-    make_up = {host_cluster.ROOT: [*remaining, spare.vm.vm_id]}
+    desired_voters = {host_cluster.ROOT: [*remaining, spare.vm.vm_id]}
     for node in cluster.nodes:
-        node.host.set_make_up(make_up)
+        node.host.set_make_up(desired_voters)
     await cluster.until(
         lambda: replaced.host.local(host_cluster.ROOT) is None, within=15
     )
--- a/laburnumsill/consensus/tests/test_host_rules.py
+++ b/laburnumsill/consensus/tests/test_host_rules.py
@@ -25,14 +25,14 @@
 def test_bootstrap_requires_all_initial_voters_to_be_fresh():
     fresh = {"b": answer(B, fresh=True), "c": answer(C, fresh=True)}
 
-    def found(answers):
+    def bootstrap(answers):
         return founding.initial_membership(A, True, ["a", "b", "c"], answers)
 
-    assert found(fresh) == DISK_A
-    assert found({"b": fresh["b"]}) is None
-    assert found({**fresh, "c": answer(C)}) is None
-    assert found({**fresh, "d": answer(D)}) is None
-    assert found({**fresh, "c": host_messages.HelloAnswer()}) is None
+    assert bootstrap(fresh) == DISK_A
+    assert bootstrap({"b": fresh["b"]}) is None
+    assert bootstrap({**fresh, "c": answer(C)}) is None
+    assert bootstrap({**fresh, "d": answer(D)}) is None
+    assert bootstrap({**fresh, "c": host_messages.HelloAnswer()}) is None
 
 
 OWN_ANSWER = answer(A, term=4, last_term=3, last_index=9)
@@ -40,8 +40,10 @@
 
 
 def test_the_only_disk_recovers_the_group():
-    found = host_recovery.recovery_membership(DISK_A, OWN_ANSWER, LOST_ANSWERS)
-    assert found == (5, types.Membership((A,), (), frozenset("a")))
+    recovery = host_recovery.recovery_membership(
+        DISK_A, OWN_ANSWER, LOST_ANSWERS
+    )
+    assert recovery == (5, types.Membership((A,), (), frozenset("a")))
 
 
 @pytest.mark.parametrize(
@@ -146,8 +148,8 @@
 
 
 def test_without_desired_voters_nothing_changes():
-    running = frozenset(DISK_A.voters)
+    replicas = frozenset(DISK_A.voters)
     view = group_make_up.MembershipView(
-        DISK_A, (), {}, running, running, frozenset()
+        DISK_A, (), {}, replicas, replicas, frozenset()
     )
     assert group_make_up.next_change(view) is None
