--- a/laburnumsill/consensus/host_forward.py
+++ b/laburnumsill/consensus/host_forward.py
@@ -39,8 +39,10 @@
 """Errors after which a command was certainly not committed."""
 
 CONFIRMATION_QUERY = codec.encode(replication.Confirmation())
+"""Query that only a leader with a confirmed leadership answers."""
 
 LocalAttempt = abc.Callable[[float], abc.Awaitable[forwarded.Outcome]]
+"""Executes a request on the local replica, up to a monotonic deadline."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/laburnumsill/consensus/tests/test_host.py
+++ b/laburnumsill/consensus/tests/test_host.py
@@ -63,7 +63,7 @@
     assert leader.keys() == ["before", "after"]
 
 
-async def test_without_a_majority_each_proposal_fails_with_its_outcome(
+async def test_without_a_majority_errors_say_if_the_outcome_is_unknown(
     make_cluster,
 ):
     cluster = make_cluster()
