--- a/laburnumsill/members/__init__.py
+++ b/laburnumsill/members/__init__.py
@@ -1,5 +1,5 @@
-"""Announcements of backend servers and workers, and their expiry.
+"""Registration and failure detection of backend servers and workers.
 
-`table.MemberTable` is the whole of it for other subpackages, with
-`changes.Change` for observers and `usage.UsageReport` for reports.
+Other subpackages use `table.MemberTable`, the `changes.Change` that its
+observers receive, and `usage.UsageReport`.
 """
--- a/laburnumsill/members/usage.py
+++ b/laburnumsill/members/usage.py
@@ -1,4 +1,7 @@
-"""What workers report of the use of their tasks, some time after the fact."""
+"""Reports of workers on the resource usage of their tasks.
+
+Reports arrive some time after the measurement.
+"""
 
 import dataclasses
 from collections import abc
@@ -6,13 +9,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TaskUsage:
-    """The use of one task.
+    """Resource usage of one task.
 
     Attributes:
         task_id: The task.
-        job_id: The job that it is part of.
-        epoch: Fencing epoch of its placement.
-        state: Its state, such as ``running``.
+        job_id: The job of the task.
+        epoch: Fencing epoch of the placement of the task.
+        state: State of the task, such as ``running``.
         cores: Processor cores in use.
         memory_gb: Memory in use, in GB.
         accelerators: Accelerators in use.
@@ -29,13 +32,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageReport:
-    """The use of all tasks of one worker.
+    """Resource usage of all tasks of one worker.
 
     Attributes:
         worker_id: The worker.
-        incarnation: Its incarnation.
-        measured_at: When it was measured, wall time.
-        tasks: Its live tasks.
+        incarnation: Incarnation of the worker.
+        measured_at: Wall time of the measurement.
+        tasks: Usage of each live task.
     """
 
     worker_id: str
