--- a/laburnumsill/members/changes.py
+++ b/laburnumsill/members/changes.py
@@ -1,4 +1,4 @@
-"""What observers of the member table are told."""
+"""Changes of members, as reported to observers of the member table."""
 
 import dataclasses
 import enum
@@ -9,8 +9,8 @@
 Member = members.BackendServer | members.Worker
 
 
-class What(enum.Enum):
-    """The kinds of changes."""
+class ChangeType(enum.Enum):
+    """Types of changes of a member."""
 
     JOINED = "joined"
     CHANGED = "changed"
@@ -24,13 +24,13 @@
 
     Attributes:
         kind: ``server`` or ``worker``.
-        what: What happened. A member that restarted is gone under its old
-            incarnation and then joined under its new one.
-        member: The member after the change, as last known if it is gone.
+        what: Type of the change. A restart is reported as two changes: the
+            old incarnation is gone, then the new one has joined.
+        member: The member after the change, or as last known if it is gone.
     """
 
     kind: str
-    what: What
+    what: ChangeType
     member: Member
 
 
@@ -39,27 +39,27 @@
 
 def between(
     old: Member, old_gone: bool, new: Member, new_gone: bool
-) -> list[tuple[What, Member]]:
+) -> list[tuple[ChangeType, Member]]:
     """Returns the changes from one report to a newer one.
 
     Examples:
         >>> old = members.Worker("w", "n", "r", "a:1", "i1", 1, 8, 64, 8)
         >>> new = members.Worker("w", "n", "r", "a:1", "i2", 1, 8, 64, 8)
-        >>> [what.value for what, _ in between(old, False, new, False)]
+        >>> [change.value for change, _ in between(old, False, new, False)]
         ['gone', 'joined']
     """
     found = []
     restarted = old.incarnation != new.incarnation
     if not old_gone and (new_gone or restarted):
-        found.append((What.GONE, old))
+        found.append((ChangeType.GONE, old))
     if new_gone:
         return found
     if old_gone or restarted:
-        found.append((What.JOINED, new))
+        found.append((ChangeType.JOINED, new))
         if not new.leaving:
             return found
     if new.leaving and (restarted or old_gone or not old.leaving):
-        found.append((What.LEAVING, new))
+        found.append((ChangeType.LEAVING, new))
     else:
-        found.append((What.CHANGED, new))
+        found.append((ChangeType.CHANGED, new))
     return found
--- a/laburnumsill/members/entries.py
+++ b/laburnumsill/members/entries.py
@@ -1,10 +1,10 @@
-"""What one VM knows of one member, and which of two reports is newer.
+"""Entries of the member table and the order of reports on a member.
 
-A report's version is (incarnation, sequence, gone). Incarnations of a member
-are ordered as strings, so a member takes its start time, in a fixed width.
-Of two reports the greater version stays; the join is commutative,
-associative and idempotent, so that late, crossed and repeated notices do no
-harm.
+The version of a report is (incarnation, sequence, gone). Incarnations of a
+member are compared as strings, so a member uses its start time in a fixed
+width as its incarnation. A merge of two reports keeps the one with the
+greater version. Merging is commutative, associative and idempotent, so late,
+reordered and repeated notices have no effect.
 """
 
 import dataclasses
@@ -16,11 +16,14 @@
 from laburnumsill.members import messages
 
 FINAL_SEQUENCE = 2**62
-"""Sequence of the report that a member has left for good."""
+"""Sequence of the final report on an incarnation that has left."""
 
 Member = members.BackendServer | members.Worker
 Group = tuple[str, str]
-"""Kind and service, or kind and domain: members that are asked for together."""
+"""Kind and service of servers, or kind and domain of workers.
+
+Lookups return all members of a group.
+"""
 
 Version = tuple[str, int, bool]
 
@@ -30,62 +33,66 @@
 
 @dataclasses.dataclass(slots=True)
 class Entry:
-    """One member; times are points on the monotonic clock.
+    """Entry of one member; times are points on the monotonic clock.
 
     Attributes:
         key: See `member_key`.
-        member: Its newest report.
+        member: The newest report on the member.
         digest: See `content_digest`.
-        gone: Whether it is gone.
-        rank: 0 for the first watcher, 1 for the second, None for others.
-        due: When it is gone unless heard again; infinite for others than
-            watchers.
-        adopted_at: When this VM became its watcher or stood still.
-        suspected_until: When an suspicion has waited long enough, or None.
-        heard_at: When an announcement last reached this VM.
-        learnt_at: When a newer report last reached this VM.
-        confirmed_at: When a VM of its domain last said it knows the same.
-        next_ms: What the member was told, in milliseconds.
-        gone_at: When it was declared gone, if it is.
-        broadcast_busy: Busy slots that all VMs know of.
-        broadcast_busy_at: When they were told.
+        gone: Whether the member is gone, which makes the entry a tombstone.
+        watcher_rank: 0 if this VM is the first watcher of the member, 1 if it
+            is the second, otherwise None.
+        expires_at: When the TTL or the suspicion ends; infinite if this VM is
+            not a watcher.
+        watched_since: When this VM became a watcher of the member, or last
+            resumed after a stall.
+        suspicion_expires_at: When the query to the other watcher times out;
+            None if the member is not suspected.
+        last_contact_at: When a VM last received an announcement, as far as
+            this VM knows.
+        updated_at: When this VM last merged a newer report.
+        confirmed_at: When a VM of the domain last confirmed the entry.
+        interval_ms: Announcement interval of the member in milliseconds.
+        gone_at: When the member was declared gone; infinite if it was not.
+        broadcast_busy: Busy slots in the last broadcast.
+        broadcast_busy_at: When the last broadcast was queued.
     """
 
     key: int
     member: Member
     digest: int
     gone: bool
-    rank: int | None = None
-    due: float = math.inf
-    adopted_at: float = -math.inf
-    suspected_until: float | None = None
-    heard_at: float = -math.inf
-    learnt_at: float = -math.inf
+    watcher_rank: int | None = None
+    expires_at: float = math.inf
+    watched_since: float = -math.inf
+    suspicion_expires_at: float | None = None
+    last_contact_at: float = -math.inf
+    updated_at: float = -math.inf
     confirmed_at: float = -math.inf
-    next_ms: int = 0
+    interval_ms: int = 0
     gone_at: float = math.inf
     broadcast_busy: int = 0
     broadcast_busy_at: float = -math.inf
 
     @property
     def version(self) -> Version:
-        """What decides between two reports."""
+        """Version of the report, which decides between two reports."""
         return version(self.member, self.gone)
 
     @property
     def evidence_at(self) -> float:
-        """When this VM last had a reason to believe this entry."""
-        return max(self.heard_at, self.learnt_at, self.confirmed_at)
+        """Time of the latest contact, update or confirmation."""
+        return max(self.last_contact_at, self.updated_at, self.confirmed_at)
 
     def row(self, now: float) -> messages.Row:
-        """Returns this entry for other VMs, with ages as of `now`."""
+        """Returns the row to send to other VMs, with ages as of `now`."""
         server = worker = None
         if isinstance(self.member, members.BackendServer):
             server = self.member
         else:
             worker = self.member
         if not self.gone:
-            return messages.Row(server, worker, False, self.next_ms)
+            return messages.Row(server, worker, False, self.interval_ms)
         gone_ms = max(0, int((now - self.gone_at) * 1000))
         return messages.Row(server, worker, True, gone_ms=gone_ms)
 
@@ -96,7 +103,7 @@
 
 
 def member_id(member: Member) -> str:
-    """Returns a member's id; a server's is unique with its service only.
+    """Returns the id of a member, which for a server includes its service.
 
     Examples:
         >>> server = members.BackendServer("s1", "tee", "n", "", "i", 1, 8, 64)
@@ -114,21 +121,21 @@
 
 
 def kind_of(member: Member) -> str:
-    """Returns ``server`` or ``worker``."""
+    """Returns the kind of a member: ``server`` or ``worker``."""
     if isinstance(member, members.BackendServer):
         return SERVER
     return WORKER
 
 
 def group_of(member: Member) -> Group:
-    """Returns the group of a member, which never changes in its domain."""
+    """Returns the group of a member, fixed as long as it keeps its domain."""
     if isinstance(member, members.BackendServer):
         return SERVER, member.service
     return WORKER, member.domain
 
 
 def key_of(kind: str, identifier: str) -> int:
-    """Returns the 64-bit key of a member."""
+    """Returns the 64-bit key of a member, given its kind and member id."""
     return xxhash.xxh64_intdigest(f"{kind}\0{identifier}".encode())
 
 
@@ -138,7 +145,10 @@
 
 
 def content_digest(member: Member) -> int:
-    """Returns a digest of all but what changes with each announcement."""
+    """Returns a digest of all fields but sequence and busy slots.
+
+    Those two change with each announcement, the others rarely.
+    """
     if isinstance(member, members.BackendServer):
         fixed: Member = dataclasses.replace(member, sequence=0, busy=0)
     else:
@@ -147,17 +157,17 @@
 
 
 def member_of(row: messages.Row) -> Member | None:
-    """Returns the member that a row is about, None if it is damaged."""
+    """Returns the member of a row, or None if the row is malformed."""
     return row.server if row.server is not None else row.worker
 
 
 def busy_of(member: Member) -> int:
-    """Returns a server's busy slots, 0 for a worker."""
+    """Returns the busy slots of a server, or 0 for a worker."""
     return member.busy if isinstance(member, members.BackendServer) else 0
 
 
 def with_heartbeat(member: Member, sequence: int, busy: int) -> Member:
-    """Returns the member as of a later heartbeat."""
+    """Returns the member with sequence and busy slots of a heartbeat."""
     if isinstance(member, members.BackendServer):
         return dataclasses.replace(member, sequence=sequence, busy=busy)
     return dataclasses.replace(member, sequence=sequence)
--- a/laburnumsill/members/intake.py
+++ b/laburnumsill/members/intake.py
@@ -1,10 +1,11 @@
-"""Takes announcements, from members and as other VMs pass them on.
+"""Intake of announcements from members and of notices from other VMs.
 
-The VM that a member happened to reach joins the announcement and passes it
-to the member's watchers: a whole row if it is new here or has changed, else
-a heartbeat. A watcher that lacks the row of a heartbeat asks for it. A VM
-that gets one and is no watcher passes it on once, as views of which VMs can
-be reached differ for a while.
+A member announces itself to any VM. That VM merges the announcement and
+forwards it to the member's watchers: the full row if the member is new to it
+or has changed, otherwise a heartbeat. A watcher that lacks the row of a
+heartbeat requests it. A VM that receives a forwarded announcement but is not
+a watcher relays it once, because VMs may disagree for a while about which
+VMs are reachable and so about who the watchers are.
 """
 
 import dataclasses
@@ -24,7 +25,7 @@
 from laburnumsill.members import watching
 
 JITTER = 0.1
-"""Share of an interval by which announcements are spread."""
+"""Maximum share of the announcement interval that is randomly subtracted."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -32,8 +33,8 @@
     """The answer to an announcement.
 
     Attributes:
-        accepted: False if a later one is known already.
-        next_announce_at: When to announce again, wall time.
+        accepted: False if this VM knows the same or a later version.
+        next_announce_at: Wall time of the next announcement.
     """
 
     accepted: bool
@@ -41,38 +42,38 @@
 
 
 class Intake:
-    """Joins announcements and rows and passes them on."""
+    """Merges announcements and rows and forwards them."""
 
     def __init__(
         self,
-        me: str,
+        local_vm: str,
         store: stores.MemberStore,
         watcher: watching.Watcher,
         outbox: outboxes.Outbox,
-        reach: reachability.Reachability,
+        reachable: reachability.Reachability,
         clock: clocks.Clock,
         policy: abc.Callable[[], models.MemberPolicy],
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._store = store
         self._watcher = watcher
         self._outbox = outbox
-        self._reach = reach
+        self._reachability = reachable
         self._clock = clock
         self._policy = policy
-        self._random = random.Random(me)
+        self._random = random.Random(local_vm)
 
     def announce(self, member: entries.Member) -> Announced:
-        """Takes an announcement that reached this VM.
+        """Merges and forwards an announcement that a member sent to this VM.
 
         Raises:
             errors.LaburnumsillError: A type of `members.errors`.
         """
         key = entries.member_key(member)
-        watchers = self._reach.watchers(key, member.domain)
-        if self._reach.cut_off:
+        watchers = self._reachability.watchers(key, member.domain)
+        if self._reachability.cut_off:
             raise errors.CutOffError(
-                f"{self._me} reaches no other VM; announce"
+                f"{self._local_vm} reaches no other VM; announce"
                 f" {entries.member_id(member)!r} elsewhere"
             )
         interval_s = self._interval_s(member)
@@ -87,15 +88,15 @@
         entry = self._store.get(key)
         if entry is None:
             raise errors.TableFullError(f"{member.domain!r} is full")
-        self._watcher.note_heard(entry, int(interval_s * 1000))
-        if merged is stores.Merge.CHANGED:
-            self._pass_row(entry, watchers)
+        self._watcher.record_contact(entry, int(interval_s * 1000))
+        if merged is stores.MergeResult.CHANGED:
+            self._forward_row(entry, watchers)
         else:
-            self._pass_heartbeat(entry, watchers)
+            self._forward_heartbeat(entry, watchers)
         return Announced(True, next_at)
 
     def leave(self, kind: str, member_id: str, incarnation: str) -> None:
-        """Notes that a member is gone for good.
+        """Records that an incarnation of a member has left for good.
 
         Raises:
             errors.LaburnumsillError: A type of `members.errors`.
@@ -105,18 +106,18 @@
         if entry is None:
             raise errors.UnknownMemberError(f"no {kind} {member_id!r}")
         _check_incarnation(entry, incarnation)
-        last = dataclasses.replace(
+        final = dataclasses.replace(
             entry.member,
             incarnation=incarnation,
             sequence=entries.FINAL_SEQUENCE,
         )
-        watchers = self._reach.watchers(key, last.domain)
-        self._store.merge(last, True)
-        self._watcher.adopt(entry)
-        self._pass_row(entry, watchers)
+        watchers = self._reachability.watchers(key, final.domain)
+        self._store.merge(final, True)
+        self._watcher.update_role(entry)
+        self._forward_row(entry, watchers)
 
-    def join(self, row: messages.Row) -> None:
-        """Joins a row; a watcher broadcasts what it changed."""
+    def merge_row(self, row: messages.Row) -> None:
+        """Merges a row; a watcher of the member broadcasts a change."""
         member = entries.member_of(row)
         if member is None:
             return
@@ -124,54 +125,60 @@
         entry = self._store.get(entries.member_key(member))
         if entry is None:
             return
-        if merged is not stores.Merge.OLDER:
-            entry.next_ms = row.next_ms
-        if merged is stores.Merge.CHANGED:
-            self._take_change(entry)
+        if merged is not stores.MergeResult.OLDER:
+            entry.interval_ms = row.next_ms
+        if merged is stores.MergeResult.CHANGED:
+            self._handle_change(entry)
         elif row.gone and not entry.gone:
-            self._take_older_gone(entry, member, row.gone_ms)
+            self._handle_stale_gone(entry, member, row.gone_ms)
 
     def on_rows(self, notice: messages.Rows) -> None:
-        """Takes rows from another VM."""
+        """Merges the rows of another VM."""
         for row in notice.rows:
             if notice.heard:
-                self._take_heard(row, notice.relayed)
+                self._handle_announcement(row, notice.relayed)
             else:
-                self.join(row)
+                self.merge_row(row)
 
     def on_heartbeats(self, notice: messages.Heartbeats) -> None:
-        """Takes heartbeats that reached another VM."""
+        """Merges heartbeats that members sent to another VM.
+
+        Requests the rows of unknown members and of members whose digest
+        differs, and relays heartbeats of members that this VM does not watch.
+        """
         for heartbeat in notice.heartbeats:
             entry = self._store.get(heartbeat[0])
             if entry is None or entry.digest != heartbeat[1]:
-                self._outbox.request_row(notice.sender, heartbeat[0])
+                self._outbox.queue_row_request(notice.sender, heartbeat[0])
                 continue
-            self._take_heartbeat(entry, heartbeat)
-            if entry.rank is None and not notice.relayed:
-                for vm in self._others(entry):
-                    self._outbox.heartbeat(vm, heartbeat, relayed=True)
+            self._handle_heartbeat(entry, heartbeat)
+            if entry.watcher_rank is None and not notice.relayed:
+                for vm in self._other_watchers(entry):
+                    self._outbox.queue_heartbeat(vm, heartbeat, relayed=True)
 
     def on_row_request(self, notice: messages.RowRequest) -> None:
-        """Sends rows whose heartbeats the sender could not use."""
+        """Queues the requested rows for the sender."""
         for key in notice.keys:
             entry = self._store.get(key)
             if entry is not None and not entry.gone:
                 row = entry.row(self._clock.monotonic())
-                self._outbox.heard(notice.sender, key, row, relayed=True)
+                self._outbox.queue_announcement(
+                    notice.sender, key, row, relayed=True
+                )
 
-    def _take_heartbeat(
+    def _handle_heartbeat(
         self, entry: entries.Entry, heartbeat: messages.Heartbeat
     ) -> None:
-        _, _, sequence, busy, next_ms = heartbeat
+        _, _, sequence, busy, interval_ms = heartbeat
         member = entries.with_heartbeat(entry.member, sequence, busy)
         merged = self._store.merge(member, False)
-        if merged is not stores.Merge.OLDER:
-            self._watcher.note_heard(entry, next_ms)
-        if merged is stores.Merge.CHANGED:
+        if merged is not stores.MergeResult.OLDER:
+            self._watcher.record_contact(entry, interval_ms)
+        if merged is stores.MergeResult.CHANGED:
             self._watcher.broadcast_change(entry)
 
-    def _take_heard(self, row: messages.Row, relayed: bool) -> None:
-        """Takes a whole announcement that reached another VM."""
+    def _handle_announcement(self, row: messages.Row, relayed: bool) -> None:
+        """Merges the full row of an announcement sent to another VM."""
         member = entries.member_of(row)
         if member is None:
             return
@@ -179,56 +186,59 @@
         entry = self._store.get(entries.member_key(member))
         if entry is None:
             return
-        if merged is not stores.Merge.OLDER and not row.gone:
-            self._watcher.note_heard(entry, row.next_ms)
-        if merged is stores.Merge.CHANGED:
-            self._take_change(entry)
-        if entry.rank is None and not relayed:
-            for vm in self._others(entry):
-                self._outbox.heard(vm, entry.key, row, relayed=True)
+        if merged is not stores.MergeResult.OLDER and not row.gone:
+            self._watcher.record_contact(entry, row.next_ms)
+        if merged is stores.MergeResult.CHANGED:
+            self._handle_change(entry)
+        if entry.watcher_rank is None and not relayed:
+            for vm in self._other_watchers(entry):
+                self._outbox.queue_announcement(
+                    vm, entry.key, row, relayed=True
+                )
 
-    def _take_change(self, entry: entries.Entry) -> None:
-        self._watcher.adopt(entry)
+    def _handle_change(self, entry: entries.Entry) -> None:
+        self._watcher.update_role(entry)
         self._watcher.broadcast_change(entry)
 
-    def _take_older_gone(
-        self, entry: entries.Entry, last: entries.Member, gone_ms: int
+    def _handle_stale_gone(
+        self, entry: entries.Entry, declared: entries.Member, gone_ms: int
     ) -> None:
-        """Weighs that a member is gone which this VM knew to be later.
+        """Handles a gone declaration with an older version than the entry.
 
-        The watchers may have missed its last announcements. This VM passes
-        on what it has heard within the TTL; else it goes by the watchers,
-        unless it has learnt of the member after they declared it gone.
+        The watchers may have missed the last announcements of the member. If
+        this VM received one within the TTL, it refutes the declaration.
+        Otherwise it accepts the declaration, unless its entry was updated
+        after the member was declared gone.
         """
-        if last.incarnation != entry.member.incarnation:
+        if declared.incarnation != entry.member.incarnation:
             return
-        if self._watcher.has_heard(entry):
-            self._watcher.contradict(entry, self._others(entry))
+        if self._watcher.has_recent_contact(entry):
+            self._watcher.refute(entry, self._other_watchers(entry))
             return
         gone_at = self._clock.monotonic() - gone_ms / 1000
-        if gone_at >= entry.learnt_at:
+        if gone_at >= entry.updated_at:
             self._store.merge(entry.member, True, gone_ms)
-            self._take_change(entry)
+            self._handle_change(entry)
 
-    def _others(self, entry: entries.Entry) -> list[str]:
-        """Returns the watchers of an entry that this VM can reach."""
+    def _other_watchers(self, entry: entries.Entry) -> list[str]:
+        """Returns the reachable watchers of an entry except this VM."""
         try:
-            found = self._reach.watchers(entry.key, entry.member.domain)
+            found = self._reachability.watchers(entry.key, entry.member.domain)
         except errors.DomainUnreachableError:
             return []
-        return [vm for vm in found if vm != self._me]
+        return [vm for vm in found if vm != self._local_vm]
 
-    def _pass_row(
+    def _forward_row(
         self, entry: entries.Entry, watchers: abc.Iterable[str]
     ) -> None:
         row = entry.row(self._clock.monotonic())
         for vm in watchers:
-            if vm == self._me:
+            if vm == self._local_vm:
                 self._watcher.broadcast(entry)
             else:
-                self._outbox.heard(vm, entry.key, row)
+                self._outbox.queue_announcement(vm, entry.key, row)
 
-    def _pass_heartbeat(
+    def _forward_heartbeat(
         self, entry: entries.Entry, watchers: abc.Iterable[str]
     ) -> None:
         heartbeat = (
@@ -236,16 +246,18 @@
             entry.digest,
             entry.member.sequence,
             entries.busy_of(entry.member),
-            entry.next_ms,
+            entry.interval_ms,
         )
         for vm in watchers:
-            if vm != self._me:
-                self._outbox.heartbeat(vm, heartbeat)
+            if vm != self._local_vm:
+                self._outbox.queue_heartbeat(vm, heartbeat)
 
     def _interval_s(self, member: entries.Member) -> float:
         if isinstance(member, members.BackendServer):
             return timing.server_interval_s(self._policy())
-        return timing.worker_interval_s(self._policy(), self._watcher.watched)
+        return timing.worker_interval_s(
+            self._policy(), self._watcher.watched_count
+        )
 
 
 def _check_incarnation(entry: entries.Entry, incarnation: str) -> None:
--- a/laburnumsill/members/messages.py
+++ b/laburnumsill/members/messages.py
@@ -1,8 +1,8 @@
 """Notices between the member tables of two VMs.
 
-A notice that is answered names its sender, as handlers see notices alone.
-Members are named by 64-bit keys and their contents by 64-bit digests, see
-`entries`; a heartbeat in a batch costs about 25 bytes.
+A handler receives only the notice, so a notice that needs a reply contains
+its sender. Members are identified by 64-bit keys and their contents by 64-bit
+digests, see `entries`; a heartbeat in a batch takes about 25 bytes.
 """
 
 import dataclasses
@@ -11,23 +11,23 @@
 from laburnumsill.core import members
 
 Heartbeat = tuple[int, int, int, int, int]
-"""One heartbeat: key, digest, sequence, busy slots, next in milliseconds."""
+"""Heartbeat: key, digest, sequence, busy slots, announcement interval in ms."""
 
-HeardElsewhere = tuple[int, int, int, int, int]
-"""Who was heard: key, digest, sequence, milliseconds ago, next in ms."""
+LastContact = tuple[int, int, int, int, int]
+"""Last contact: key, digest, sequence, age and announcement interval in ms."""
 
 
 @codec.register("members.row")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Row:
-    """All that is said of one member; exactly one of the two is set.
+    """Full report on one member, with either a server or a worker.
 
     Attributes:
         server: A backend server, or None.
         worker: A worker, or None.
-        gone: Whether it is gone.
-        next_ms: When it is to announce again, in milliseconds from now.
-        gone_ms: How long ago it was declared gone, in milliseconds.
+        gone: Whether the member is gone.
+        next_ms: Announcement interval of the member in milliseconds.
+        gone_ms: Time since the member was declared gone, in milliseconds.
     """
 
     server: members.BackendServer | None = None
@@ -40,13 +40,14 @@
 @codec.register("members.rows")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rows:
-    """Rows that are new or have changed.
+    """Rows of new or changed members.
 
     Attributes:
-        sender: The VM that sends it.
+        sender: The VM that sends the notice.
         rows: The rows.
-        heard: Whether the sender has just heard the members announce this.
-        relayed: Whether it was passed on by a VM that is no watcher.
+        heard: Whether the rows are announcements that were just received, as
+            opposed to a broadcast.
+        relayed: Whether the receiver must not relay the rows again.
     """
 
     sender: str
@@ -58,7 +59,13 @@
 @codec.register("members.heartbeats")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeats:
-    """Heartbeats without a change, for a watcher."""
+    """Heartbeats of unchanged members, for a watcher.
+
+    Attributes:
+        sender: The VM that sends the notice.
+        heartbeats: The heartbeats.
+        relayed: Whether the receiver must not relay the heartbeats again.
+    """
 
     sender: str
     heartbeats: tuple[Heartbeat, ...]
@@ -68,7 +75,7 @@
 @codec.register("members.wanted")
 @dataclasses.dataclass(frozen=True, slots=True)
 class RowRequest:
-    """Keys of heartbeats whose row the sender lacks."""
+    """Request for the rows of heartbeats whose members the sender lacks."""
 
     sender: str
     keys: tuple[int, ...]
@@ -77,7 +84,7 @@
 @codec.register("members.suspicion")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspicion:
-    """Keys of members that the sender would declare gone."""
+    """Query for last contacts of members that the sender suspects."""
 
     sender: str
     keys: tuple[int, ...]
@@ -86,29 +93,29 @@
 @codec.register("members.confirmed")
 @dataclasses.dataclass(frozen=True, slots=True)
 class SuspicionReply:
-    """The answer to an suspicion.
+    """The reply to a suspicion.
 
     Attributes:
-        sender: The VM that sends it.
-        heard: Members that the sender has heard within their TTL.
-        silent: Keys of all others.
+        sender: The VM that sends the notice.
+        heard: Last contacts of the members whose TTL has not ended here.
+        silent: Keys of the other members in the query.
     """
 
     sender: str
-    heard: tuple[HeardElsewhere, ...]
+    heard: tuple[LastContact, ...]
     silent: tuple[int, ...]
 
 
 @codec.register("members.probe")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Probe:
-    """Asks a VM of a domain whether it knows the same of the domain.
+    """Comparison of a domain's digest with that of a VM of the domain.
 
     Attributes:
-        sender: The VM that sends it.
+        sender: The VM that sends the notice.
         domain: The failure domain.
-        number: Number of this probe; answers bear it.
-        root: Digest of all that the sender knows of the domain.
+        number: Number of this probe, repeated in the replies.
+        root: Digest of all present members of the domain at the sender.
     """
 
     sender: str
@@ -120,7 +127,7 @@
 @codec.register("members.agreed")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Agreed:
-    """The answer to a probe: the same."""
+    """The reply to a probe whose digest matches."""
 
     domain: str
     number: int
@@ -130,7 +137,7 @@
 @codec.register("members.differs")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Differs:
-    """The answer to a probe: not the same; the digest of each bucket."""
+    """The reply to a probe whose digest differs: digests of all buckets."""
 
     sender: str
     domain: str
@@ -141,14 +148,14 @@
 @codec.register("members.pull")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pull:
-    """Asks for what the sender lacks in some buckets.
+    """Request for the rows that the sender lacks in some buckets.
 
     Attributes:
-        sender: The VM that sends it.
+        sender: The VM that sends the notice.
         domain: The failure domain.
-        number: Number of the probe that this follows.
-        buckets: The buckets that differ.
-        have: Digests of the sender's rows in them.
+        number: Number of the probe that found the difference.
+        buckets: Numbers of the buckets that differ.
+        have: Digests of the present members in these buckets at the sender.
     """
 
     sender: str
@@ -161,15 +168,15 @@
 @codec.register("members.pulled")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Pulled:
-    """The answer to a pull.
+    """The reply to a pull.
 
     Attributes:
-        sender: The VM that sends it.
+        sender: The VM that sends the notice.
         domain: The failure domain.
-        number: Number of the probe that this follows.
-        buckets: The buckets that were asked for.
-        rows: Rows that the asker lacks, with those that are gone.
-        unknown: Digests that the asker has and the answerer has not.
+        number: Number of the probe that found the difference.
+        buckets: Numbers of the requested buckets.
+        rows: Rows that the requester lacks, and all tombstones.
+        unknown: Digests in the request that the sender does not have.
         more: Whether there are more rows than fit into one notice.
     """
 
--- a/laburnumsill/members/rows.py
+++ b/laburnumsill/members/rows.py
@@ -1,9 +1,9 @@
-"""The entries of one failure domain, with digests for comparing them.
+"""The entries of one failure domain, with digests for anti-entropy.
 
-Entries fall into buckets by key. A bucket's digest is the exclusive or of
-the digests of its present members, so that adding and removing one costs the
-same whatever the size. Members that are gone do not count: two VMs agree
-whether or not they still remember them.
+Entries are divided into buckets by key. The digest of a bucket is the
+exclusive or of the digests of its present members, so that adding or removing
+an entry takes constant time. Tombstones (entries of members that are gone) do
+not count: VMs agree whether or not they still hold the same tombstones.
 """
 
 import collections
@@ -15,23 +15,23 @@
 from laburnumsill.members import entries
 
 BUCKETS = 64
-"""Buckets of a domain; a power of two."""
+"""Number of buckets of a domain; a power of two."""
 
 MAX_ENTRIES = 20_000
-"""Entries of one domain, gone ones included."""
+"""Maximum entries of one domain, tombstones included."""
 
 
-class DomainRows:
-    """All that is known of one failure domain's members."""
+class DomainEntries:
+    """Entries of one failure domain by key, by bucket and by group."""
 
     def __init__(self, domain: str) -> None:
         self.domain = domain
         self._entries: dict[int, entries.Entry] = {}
         self._digests = [0] * BUCKETS
-        self._agreed_at = [-math.inf] * BUCKETS
-        self._keys: list[set[int]] = [set() for _ in range(BUCKETS)]
+        self._confirmed_at = [-math.inf] * BUCKETS
+        self._bucket_keys: list[set[int]] = [set() for _ in range(BUCKETS)]
         self._groups: dict[entries.Group, dict[int, entries.Entry]] = {}
-        self._gone: collections.OrderedDict[int, float] = (
+        self._tombstones: collections.OrderedDict[int, float] = (
             collections.OrderedDict()
         )
 
@@ -42,9 +42,9 @@
         return iter(self._entries.values())
 
     @property
-    def full(self) -> bool:
-        """Whether no further member can be known."""
-        return len(self._entries) - len(self._gone) >= MAX_ENTRIES
+    def is_full(self) -> bool:
+        """Whether the domain has no capacity for a further member."""
+        return len(self._entries) - len(self._tombstones) >= MAX_ENTRIES
 
     @property
     def digests(self) -> tuple[int, ...]:
@@ -53,34 +53,36 @@
 
     @property
     def root(self) -> int:
-        """The digest of all present members."""
+        """The digest of all buckets, and so of all present members."""
         raw = b"".join(value.to_bytes(8, "big") for value in self._digests)
         return xxhash.xxh64_intdigest(raw)
 
     def get(self, key: int) -> entries.Entry | None:
-        """Returns the entry of a key, gone or not."""
+        """Returns the entry of a key, which may be a tombstone."""
         return self._entries.get(key)
 
     def group(self, group: entries.Group) -> abc.Collection[entries.Entry]:
-        """Returns the entries of one service, or all workers."""
+        """Returns the entries of one group, tombstones included."""
         return self._groups.get(group, {}).values()
 
     def bucket(self, number: int) -> list[entries.Entry]:
-        """Returns the entries of one bucket."""
-        return [self._entries[key] for key in self._keys[number % BUCKETS]]
+        """Returns the entries of one bucket, tombstones included."""
+        return [
+            self._entries[key] for key in self._bucket_keys[number % BUCKETS]
+        ]
 
     def add(self, entry: entries.Entry, now: float) -> None:
-        """Adds an entry whose key is not here."""
-        if len(self._entries) >= MAX_ENTRIES and self._gone:
-            self._remove(next(iter(self._gone)))
+        """Adds an entry with a new key; evicts the oldest tombstone if full."""
+        if len(self._entries) >= MAX_ENTRIES and self._tombstones:
+            self._remove(next(iter(self._tombstones)))
         self._entries[entry.key] = entry
-        self._keys[entry.key % BUCKETS].add(entry.key)
+        self._bucket_keys[entry.key % BUCKETS].add(entry.key)
         group = entries.group_of(entry.member)
         self._groups.setdefault(group, {})[entry.key] = entry
         if entry.gone:
-            self._gone[entry.key] = now
+            self._tombstones[entry.key] = now
         else:
-            self._toggle(entry)
+            self._xor_digest(entry)
 
     def update(
         self,
@@ -90,44 +92,48 @@
         gone: bool,
         now: float,
     ) -> None:
-        """Replaces the report in an entry that is here."""
+        """Replaces the report of an entry."""
         if not entry.gone:
-            self._toggle(entry)
+            self._xor_digest(entry)
         entry.member = member
         entry.digest = digest
         entry.gone = gone
-        self._gone.pop(entry.key, None)
+        self._tombstones.pop(entry.key, None)
         if gone:
-            self._gone[entry.key] = now
+            self._tombstones[entry.key] = now
         else:
-            self._toggle(entry)
+            self._xor_digest(entry)
 
-    def forget(self, entry: entries.Entry) -> None:
-        """Removes an entry as if it had never been known."""
+    def remove(self, entry: entries.Entry) -> None:
+        """Removes an entry without leaving a tombstone."""
         if not entry.gone:
-            self._toggle(entry)
+            self._xor_digest(entry)
             entry.gone = True
         self._remove(entry.key)
 
-    def forget_gone(self, before: float) -> None:
-        """Removes members that were gone before a point in time."""
-        while self._gone:
-            key, gone_at = next(iter(self._gone.items()))
+    def remove_tombstones(self, before: float) -> None:
+        """Removes the tombstones that were created before a point in time."""
+        while self._tombstones:
+            key, gone_at = next(iter(self._tombstones.items()))
             if gone_at >= before:
                 return
             self._remove(key)
 
-    def agree(self, number: int, at: float) -> None:
-        """Notes that a VM of the domain knew the same of a bucket."""
-        self._agreed_at[number] = max(self._agreed_at[number], at)
+    def confirm_bucket(self, number: int, at: float) -> None:
+        """Records that the digest of a bucket matched at a VM of the domain."""
+        self._confirmed_at[number] = max(self._confirmed_at[number], at)
 
-    def agreed_at(self, number: int) -> float:
-        """Returns when a bucket was last the same at a VM of the domain."""
-        return self._agreed_at[number]
+    def bucket_confirmed_at(self, number: int) -> float:
+        """Returns when a bucket last matched at a VM of the domain."""
+        return self._confirmed_at[number]
 
     def evidence_at(self, entry: entries.Entry) -> float:
-        """Returns when there last was a reason to believe an entry."""
-        return max(entry.evidence_at, self._agreed_at[entry.key % BUCKETS])
+        """Returns the time of the latest evidence for an entry.
+
+        Evidence is a contact, an update, or a confirmation of the entry or of
+        its bucket by a VM of the domain.
+        """
+        return max(entry.evidence_at, self._confirmed_at[entry.key % BUCKETS])
 
     def _remove(self, key: int) -> None:
         entry = self._entries.pop(key)
@@ -135,8 +141,8 @@
         del self._groups[group][key]
         if not self._groups[group]:
             del self._groups[group]
-        self._keys[key % BUCKETS].discard(key)
-        self._gone.pop(key, None)
+        self._bucket_keys[key % BUCKETS].discard(key)
+        self._tombstones.pop(key, None)
 
-    def _toggle(self, entry: entries.Entry) -> None:
+    def _xor_digest(self, entry: entries.Entry) -> None:
         self._digests[entry.key % BUCKETS] ^= entry.digest
--- a/laburnumsill/members/store.py
+++ b/laburnumsill/members/store.py
@@ -1,4 +1,4 @@
-"""All entries of one VM, by failure domain, and who hears of changes."""
+"""Storage of all entries of one VM by failure domain, with observers."""
 
 import enum
 from collections import abc
@@ -11,19 +11,19 @@
 from laburnumsill.members import rows
 
 
-class Merge(enum.Enum):
-    """What a report did to the store."""
+class MergeResult(enum.Enum):
+    """Result of merging a report into the store."""
 
     OLDER = "older"
-    """Nothing: it is no newer than what is known, or cannot be kept."""
+    """Not stored: not newer than the entry, domain unknown or table full."""
     NEWER = "newer"
-    """It only raised the sequence."""
+    """Newer version without a change of content, such as a heartbeat."""
     CHANGED = "changed"
-    """It changed what others need to know."""
+    """New member, or a change that other VMs need to know."""
 
 
 class MemberStore:
-    """Joins reports by version; see `entries` for the order."""
+    """Merges reports by version; see `entries` for their order."""
 
     def __init__(
         self,
@@ -33,68 +33,68 @@
     ) -> None:
         self._clock = clock
         self._metrics = metrics
-        self._domains = {name: rows.DomainRows(name) for name in domains}
+        self._domains = {name: rows.DomainEntries(name) for name in domains}
         self._domain_of: dict[int, str] = {}
         self._observers: list[changes.Observer] = []
 
     @property
-    def domains(self) -> dict[str, rows.DomainRows]:
+    def domains(self) -> dict[str, rows.DomainEntries]:
         """The entries of each failure domain."""
         return self._domains
 
     def observe(self, observer: changes.Observer) -> None:
-        """Calls `observer` with each change."""
+        """Registers an observer that is called with each change."""
         self._observers.append(observer)
 
     def get(self, key: int) -> entries.Entry | None:
-        """Returns the entry of a key, gone or not."""
+        """Returns the entry of a key, which may be a tombstone."""
         domain = self._domains.get(self._domain_of.get(key, ""))
         return domain.get(key) if domain is not None else None
 
     def merge(
         self, member: entries.Member, gone: bool, gone_ms: int = 0
-    ) -> Merge:
-        """Joins one report.
+    ) -> MergeResult:
+        """Merges one report.
 
         Args:
-            member: What the member announced.
-            gone: Whether it was declared gone since.
-            gone_ms: How long ago that was, in milliseconds.
+            member: The member as announced.
+            gone: Whether the member has been declared gone since.
+            gone_ms: Time since that declaration in milliseconds.
         """
         merged = self._merge(member, gone)
-        if merged is Merge.CHANGED and gone:
+        if merged is MergeResult.CHANGED and gone:
             entry = self.get(entries.member_key(member))
             if entry is not None:
                 entry.gone_at = self._clock.monotonic() - gone_ms / 1000
         return merged
 
-    def _merge(self, member: entries.Member, gone: bool) -> Merge:
+    def _merge(self, member: entries.Member, gone: bool) -> MergeResult:
         domain = self._domains.get(member.domain)
         if domain is None:
-            return Merge.OLDER
+            return MergeResult.OLDER
         key = entries.member_key(member)
         entry = self.get(key)
         if entry is not None:
             if entries.version(member, gone) <= entry.version:
-                return Merge.OLDER
+                return MergeResult.OLDER
             if entry.member.domain == member.domain:
                 return self._replace(domain, entry, member, gone)
-            self.forget(entry)
+            self.remove(entry)
         return self._add(domain, key, member, gone)
 
-    def forget(self, entry: entries.Entry) -> None:
-        """Removes an entry without a trace; observers hear it is gone."""
+    def remove(self, entry: entries.Entry) -> None:
+        """Removes an entry without a tombstone; observers see it as gone."""
         was_gone = entry.gone
         domain = self._domains[entry.member.domain]
-        domain.forget(entry)
+        domain.remove(entry)
         del self._domain_of[entry.key]
         if not was_gone:
-            self._tell(changes.What.GONE, entry.member)
+            self._notify_observers(changes.ChangeType.GONE, entry.member)
 
-    def forget_gone(self, before: float) -> None:
-        """Removes all that were gone before a point in time."""
+    def remove_tombstones(self, before: float) -> None:
+        """Removes the tombstones that were created before a point in time."""
         for domain in self._domains.values():
-            domain.forget_gone(before)
+            domain.remove_tombstones(before)
         if len(self._domain_of) > sum(len(d) for d in self._domains.values()):
             self._domain_of = {
                 entry.key: name
@@ -104,48 +104,52 @@
 
     def _add(
         self,
-        domain: rows.DomainRows,
+        domain: rows.DomainEntries,
         key: int,
         member: entries.Member,
         gone: bool,
-    ) -> Merge:
-        if domain.full:
+    ) -> MergeResult:
+        if domain.is_full:
             self._metrics.count("members_refused_total", domain=domain.domain)
-            return Merge.OLDER
+            return MergeResult.OLDER
         now = self._clock.monotonic()
         digest = entries.content_digest(member)
-        entry = entries.Entry(key, member, digest, gone, learnt_at=now)
+        entry = entries.Entry(key, member, digest, gone, updated_at=now)
         entry.broadcast_busy = entries.busy_of(member)
         domain.add(entry, now)
         self._domain_of[key] = domain.domain
         if not gone:
-            self._tell(changes.What.JOINED, member)
-        return Merge.CHANGED
+            self._notify_observers(changes.ChangeType.JOINED, member)
+        return MergeResult.CHANGED
 
     def _replace(
         self,
-        domain: rows.DomainRows,
+        domain: rows.DomainEntries,
         entry: entries.Entry,
         member: entries.Member,
         gone: bool,
-    ) -> Merge:
+    ) -> MergeResult:
         now = self._clock.monotonic()
         old, was_gone = entry.member, entry.gone
         digest = entries.content_digest(member)
         if digest == entry.digest and gone == was_gone:
             entry.member = member
-            entry.learnt_at = now
-            return Merge.NEWER
+            entry.updated_at = now
+            return MergeResult.NEWER
         domain.update(entry, member, digest, gone, now)
-        entry.learnt_at = now
-        for what, about in changes.between(old, was_gone, member, gone):
-            self._tell(what, about)
-        return Merge.CHANGED
-
-    def _tell(self, what: changes.What, member: entries.Member) -> None:
+        entry.updated_at = now
+        for change_type, changed in changes.between(
+            old, was_gone, member, gone
+        ):
+            self._notify_observers(change_type, changed)
+        return MergeResult.CHANGED
+
+    def _notify_observers(
+        self, change_type: changes.ChangeType, member: entries.Member
+    ) -> None:
         kind = entries.kind_of(member)
         logs.event(
-            f"member-{what.value}",
+            f"member-{change_type.value}",
             kind=kind,
             member=entries.member_id(member),
             domain=member.domain,
@@ -153,8 +157,8 @@
             sequence=member.sequence,
         )
         self._metrics.count(
-            "member_changes_total", kind=kind, change=what.value
+            "member_changes_total", kind=kind, change=change_type.value
         )
-        change = changes.Change(kind, what, member)
+        change = changes.Change(kind, change_type, member)
         for observer in self._observers:
             observer(change)
--- a/laburnumsill/members/syncing.py
+++ b/laburnumsill/members/syncing.py
@@ -1,12 +1,13 @@
-"""Anti-entropy: each VM compares what it knows with a VM of each domain.
-
-At the interval `timing.probe_interval_s` a VM sends the digest of what it
-knows of a domain to one of that domain's VMs, each in turn. If they agree,
-that VM has confirmed all of it; if not, the VM pulls what it lacks from the
-buckets that differ and learns which of its entries are not known there. So a
-VM that restarted, or that changes have passed by, catches up, and an entry
-that no VM of its domain confirms is used no more. Nothing is ever pushed:
-what a VM believes wrongly stays with it.
+"""Anti-entropy synchronization of the member tables.
+
+At intervals of `timing.probe_interval_s` a VM probes each domain: it sends
+the digest of its entries of the domain to one of the domain's VMs, in
+round-robin order. A matching digest confirms all these entries. Otherwise the
+VM pulls the rows that it lacks from the buckets that differ, and learns which
+of its entries the other VM does not have. So a VM that has restarted or
+missed changes catches up, and an entry that no VM of its domain confirms
+becomes unusable. Synchronization only pulls, so that a wrong entry of one VM
+does not spread.
 """
 
 import dataclasses
@@ -21,18 +22,18 @@
 from laburnumsill.members import store as stores
 from laburnumsill.members import timing
 
-REMEMBERED_PROBES = 8
-"""Probes of a domain whose answers still count."""
+PROBE_WINDOW = 8
+"""Number of the latest probes of a domain whose replies are accepted."""
 
 
 @dataclasses.dataclass(slots=True)
-class _Round:
-    """The probes of one domain.
+class _ProbeState:
+    """State of the probes of one domain.
 
     Attributes:
-        number: Number of the last one.
-        next_at: When the next one is due.
-        sent_at: When the last ones were sent, by number.
+        number: Number of the last probe.
+        next_at: When the next probe is due.
+        sent_at: Times of the last `PROBE_WINDOW` probes by number.
     """
 
     number: int = 0
@@ -41,125 +42,129 @@
 
 
 class Syncer:
-    """Sends and answers probes."""
+    """Sends probes, replies to them and pulls missing rows."""
 
     def __init__(
         self,
-        me: str,
+        local_vm: str,
         store: stores.MemberStore,
         outbox: outboxes.Outbox,
         clock: clocks.Clock,
-        merged: abc.Callable[[messages.Row], None],
+        merge_row: abc.Callable[[messages.Row], None],
     ) -> None:
-        """Makes a syncer.
+        """Creates a syncer.
 
         Args:
-            me: This VM.
-            store: What this VM knows.
-            outbox: Where notices go.
+            local_vm: Id of this VM.
+            store: The entries of this VM.
+            outbox: Sends notices to other VMs.
             clock: The clock of this process.
-            merged: Joins one row that was pulled.
+            merge_row: Merges one row that was pulled.
         """
-        self._me = me
+        self._local_vm = local_vm
         self._store = store
         self._outbox = outbox
         self._clock = clock
-        self._merged = merged
+        self._merge_row = merge_row
         self._interval_s = timing.probe_interval_s(len(store.domains))
-        self._rounds = {name: _Round() for name in store.domains}
+        self._probe_states = {name: _ProbeState() for name in store.domains}
 
-    def probe(self, reachable: abc.Mapping[str, abc.Sequence[str]]) -> None:
+    def send_probes(
+        self, reachable: abc.Mapping[str, abc.Sequence[str]]
+    ) -> None:
         """Sends the probes that are due.
 
         Args:
-            reachable: For each domain its VMs that can be reached.
+            reachable: The reachable VMs of each domain.
         """
         now = self._clock.monotonic()
-        for name, turn in self._rounds.items():
-            others = [vm for vm in reachable.get(name, ()) if vm != self._me]
-            if not others or now < turn.next_at:
+        for name, state in self._probe_states.items():
+            others = [
+                vm for vm in reachable.get(name, ()) if vm != self._local_vm
+            ]
+            if not others or now < state.next_at:
                 continue
-            turn.number += 1
-            turn.sent_at[turn.number] = now
-            turn.sent_at.pop(turn.number - REMEMBERED_PROBES, None)
-            # An answer puts the next one off.
-            turn.next_at = now + timing.PROBE_RETRY_S
-            target = others[turn.number % len(others)]
+            state.number += 1
+            state.sent_at[state.number] = now
+            state.sent_at.pop(state.number - PROBE_WINDOW, None)
+            # A reply postpones the next probe to the end of the interval.
+            state.next_at = now + timing.PROBE_TIMEOUT_S
+            target = others[state.number % len(others)]
             root = self._store.domains[name].root
-            notice = messages.Probe(self._me, name, turn.number, root)
+            notice = messages.Probe(self._local_vm, name, state.number, root)
             self._outbox.send(target, notice)
 
-    def probe_soon(self) -> None:
-        """Makes the probes of all domains due."""
-        for turn in self._rounds.values():
-            turn.next_at = -math.inf
+    def schedule_probes(self) -> None:
+        """Schedules probes of all domains for the next tick."""
+        for state in self._probe_states.values():
+            state.next_at = -math.inf
 
     def on_probe(self, notice: messages.Probe) -> None:
-        """Compares the sender's digest with what is known here."""
+        """Replies whether the digests of the sender and this VM match."""
         domain = self._store.domains.get(notice.domain)
         if domain is None:
             return
-        answer: object
+        reply: object
         if domain.root == notice.root:
-            answer = messages.Agreed(notice.domain, notice.number, notice.root)
+            reply = messages.Agreed(notice.domain, notice.number, notice.root)
         else:
-            answer = messages.Differs(
-                self._me, notice.domain, notice.number, domain.digests
+            reply = messages.Differs(
+                self._local_vm, notice.domain, notice.number, domain.digests
             )
-        self._outbox.send(notice.sender, answer)
+        self._outbox.send(notice.sender, reply)
 
     def on_agreed(self, notice: messages.Agreed) -> None:
-        """Takes the answer that both know the same."""
-        sent_at = self._answered(notice.domain, notice.number)
+        """Records that all buckets of a domain match."""
+        sent_at = self._match_reply(notice.domain, notice.number)
         if sent_at is None:
             return
         domain = self._store.domains[notice.domain]
         for number in range(rows.BUCKETS):
-            domain.agree(number, sent_at)
+            domain.confirm_bucket(number, sent_at)
 
     def on_differs(self, notice: messages.Differs) -> None:
-        """Pulls the buckets that differ."""
-        sent_at = self._answered(notice.domain, notice.number)
+        """Pulls the buckets that differ and confirms the others."""
+        sent_at = self._match_reply(notice.domain, notice.number)
         if sent_at is None or len(notice.buckets) != rows.BUCKETS:
             return
         domain = self._store.domains[notice.domain]
         differing = []
         for number, digest in enumerate(notice.buckets):
             if digest == domain.digests[number]:
-                domain.agree(number, sent_at)
+                domain.confirm_bucket(number, sent_at)
             else:
                 differing.append(number)
         if differing:
             self._pull(notice.sender, domain, notice.number, differing)
 
     def on_pull(self, notice: messages.Pull) -> None:
-        """Answers with what the sender lacks, gone members first."""
+        """Replies with the rows that the sender lacks, tombstones first."""
         domain = self._store.domains.get(notice.domain)
         if domain is None:
             return
         now = self._clock.monotonic()
-        have = set(notice.have)
+        remote_digests = set(notice.have)
         found = [e for b in notice.buckets for e in domain.bucket(b)]
-        mine = {e.digest for e in found if not e.gone}
-        lacking = [e for e in found if e.gone or e.digest not in have]
-        lacking.sort(key=lambda entry: not entry.gone)
-        sent = lacking[: outboxes.MAX_ITEMS]
+        local_digests = {e.digest for e in found if not e.gone}
+        missing = [e for e in found if e.gone or e.digest not in remote_digests]
+        missing.sort(key=lambda entry: not entry.gone)
+        sent = missing[: outboxes.MAX_NOTICE_ITEMS]
         self._outbox.send(
             notice.sender,
             messages.Pulled(
-                self._me,
+                self._local_vm,
                 notice.domain,
                 notice.number,
                 notice.buckets,
                 tuple(entry.row(now) for entry in sent),
-                tuple(have - mine),
-                len(sent) < len(lacking),
+                tuple(remote_digests - local_digests),
+                len(sent) < len(missing),
             ),
         )
 
     def on_pulled(self, notice: messages.Pulled) -> None:
-        """Joins what was pulled; what is known there too is confirmed."""
-        sent_at = self._answered(notice.domain, notice.number)
+        """Merges the rows and confirms the entries that the sender has too."""
+        sent_at = self._match_reply(notice.domain, notice.number)
         if sent_at is None:
             return
         domain = self._store.domains[notice.domain]
@@ -169,7 +174,7 @@
                 if not entry.gone and entry.digest not in unknown:
                     entry.confirmed_at = max(entry.confirmed_at, sent_at)
         for row in notice.rows:
-            self._merged(row)
+            self._merge_row(row)
         if notice.more:
             self._pull(
                 notice.sender, domain, notice.number, list(notice.buckets)
@@ -178,7 +183,7 @@
     def _pull(
         self,
         vm: str,
-        domain: rows.DomainRows,
+        domain: rows.DomainEntries,
         number: int,
         buckets: list[int],
     ) -> None:
@@ -189,59 +194,61 @@
             if not entry.gone
         )
         notice = messages.Pull(
-            self._me, domain.domain, number, tuple(buckets), have
+            self._local_vm, domain.domain, number, tuple(buckets), have
         )
         self._outbox.send(vm, notice)
 
-    def _answered(self, domain: str, number: int) -> float | None:
-        """Returns when a probe was sent, None if that is long ago.
+    def _match_reply(self, domain: str, number: int) -> float | None:
+        """Returns when a probe was sent, or None if it left the window.
 
-        The answer to the last probe puts the next one off.
+        A reply to the last probe also postpones the next one.
         """
-        turn = self._rounds.get(domain)
-        if turn is None or number not in turn.sent_at:
+        state = self._probe_states.get(domain)
+        if state is None or number not in state.sent_at:
             return None
-        sent_at = turn.sent_at[number]
-        if number == turn.number:
-            turn.next_at = sent_at + self._interval_s
+        sent_at = state.sent_at[number]
+        if number == state.number:
+            state.next_at = sent_at + self._interval_s
         return sent_at
 
 
-def usable(
-    domain: rows.DomainRows,
+def usable_entries(
+    domain: rows.DomainEntries,
     group: entries.Group,
     now: float,
-    stalled_at: float,
+    resumed_at: float,
 ) -> list[entries.Entry]:
     """Returns the members of a group that may get work from this VM.
 
     Args:
-        domain: All that is known of a domain that can be reached.
-        group: The members asked for.
-        now: The present point.
-        stalled_at: When this VM last went on after it had stood still.
+        domain: The entries of a reachable domain.
+        group: The group of the members.
+        now: The current time.
+        resumed_at: When this VM last resumed after a stall.
     """
-    oldest = now - timing.CONFIRM_S
+    oldest = now - timing.EVIDENCE_TTL_S
     found = []
     for entry in domain.group(group):
         if entry.gone or entry.member.leaving:
             continue
         evidence_at = domain.evidence_at(entry)
-        # A watcher goes by its deadline, others by the age of the evidence.
-        recent = entry.rank is not None or evidence_at >= oldest
-        if recent and evidence_at > stalled_at:
+        # A watcher relies on the expiry, other VMs on the age of evidence.
+        recent = entry.watcher_rank is not None or evidence_at >= oldest
+        if recent and evidence_at > resumed_at:
             found.append(entry)
     return found
 
 
-def unconfirmed(domain: rows.DomainRows, before: float) -> list[entries.Entry]:
-    """Returns present entries that nothing has spoken for since `before`."""
+def unconfirmed_entries(
+    domain: rows.DomainEntries, before: float
+) -> list[entries.Entry]:
+    """Returns present unwatched entries without evidence since `before`."""
     return [
         entry
         for number in range(rows.BUCKETS)
-        if domain.agreed_at(number) < before
+        if domain.bucket_confirmed_at(number) < before
         for entry in domain.bucket(number)
         if not entry.gone
-        and entry.rank is None
+        and entry.watcher_rank is None
         and domain.evidence_at(entry) < before
     ]
--- a/laburnumsill/members/table.py
+++ b/laburnumsill/members/table.py
@@ -1,10 +1,11 @@
 """The member table of one VM.
 
-Announcements reach any VM (`intake`), which passes them to the member's two
-watchers in its failure domain (`watching`); these broadcast changes and
-declare who is gone. Anti-entropy (`syncing`) mends what notices missed. The
-arithmetic of the 3 s within which a member that is gone or leaving gets no
-new work is in `timing`; reports are joined by version, see `entries`.
+A member announces itself to any VM (`intake`), which forwards the announcement
+to the member's two watchers in its failure domain (`watching`). The watchers
+broadcast changes and declare members gone. Anti-entropy (`syncing`) repairs
+what lost notices left out. A backend server that is gone or leaving gets no
+new work after 3 s; `timing` derives the timeouts from this limit. Reports are
+merged by version, see `entries`.
 """
 
 import dataclasses
@@ -33,87 +34,100 @@
 from laburnumsill.members import timing
 from laburnumsill.members import watching
 
-HOUSEKEEPING_S = 1.0
-"""Time between two rounds of housekeeping."""
+CLEANUP_INTERVAL_S = 1.0
+"""Time between two cleanups of expired and unconfirmed entries."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known:
-    """A member that is known here, and whether it may get work from here."""
+class KnownMember:
+    """A present member of the table.
+
+    Attributes:
+        member: The member.
+        usable: Whether the member may get new work from this VM.
+    """
 
     member: entries.Member
     usable: bool
 
 
 class MemberTable(members.MemberView):
-    """What this VM knows of backend servers and workers.
+    """Table of the backend servers and workers that this VM knows.
 
-    Everything but `run` is synchronous underneath: `tick` does one round.
+    A member is usable if it may get new work from this VM: it is present and
+    not leaving, its failure domain is reachable, and there is recent evidence
+    that it is alive. All work is done synchronously, periodic work by `tick`.
     """
 
     def __init__(
         self,
-        me: topology.Vm,
+        local_vm: topology.Vm,
         vms: abc.Sequence[topology.Vm],
         peers: replication.Peers,
         current: current_module.Current,
         clock: clocks.Clock,
         metrics: metrics_module.Metrics,
     ) -> None:
-        """Makes an empty table.
+        """Creates an empty table and registers its handlers at `peers`.
 
         Args:
-            me: This VM.
-            vms: All VMs, this one too.
-            peers: The other VMs; handlers are registered here.
+            local_vm: This VM.
+            vms: All VMs, this one included.
+            peers: The transport to the other VMs.
             current: The configuration in force.
             clock: The clock of this process.
-            metrics: Where counts go.
+            metrics: The metrics of this process.
         """
-        self._me = me
+        self._local_vm = local_vm
         self._current = current
         self._clock = clock
         self._metrics = metrics
-        self._reach = reachability.Reachability(me, vms, peers, clock)
+        self._reachability = reachability.Reachability(
+            local_vm, vms, peers, clock
+        )
         self._store = stores.MemberStore(topology.domains(vms), clock, metrics)
-        self._outbox = outboxes.Outbox(me.vm_id, peers, metrics)
+        self._outbox = outboxes.Outbox(local_vm.vm_id, peers, metrics)
         self._watcher = watching.Watcher(
-            me.vm_id,
-            self._store.domains[me.domain],
+            local_vm.vm_id,
+            self._store.domains[local_vm.domain],
             self._store,
             self._outbox,
             clock,
             self._policy,
         )
         self._intake = intake.Intake(
-            me.vm_id,
+            local_vm.vm_id,
             self._store,
             self._watcher,
             self._outbox,
-            self._reach,
+            self._reachability,
             clock,
             self._policy,
         )
         self._syncer = syncing.Syncer(
-            me.vm_id, self._store, self._outbox, clock, self._intake.join
+            local_vm.vm_id,
+            self._store,
+            self._outbox,
+            clock,
+            self._intake.merge_row,
         )
         self._last_tick = clock.monotonic()
-        self._stalled_at = -math.inf
-        self._housekeeping_at = -math.inf
-        self._views: dict[tuple[str, str], tuple[typing.Any, ...]] = {}
-        self._store.observe(lambda change: self._views.clear())
+        self._resumed_at = -math.inf
+        self._next_cleanup_at = -math.inf
+        self._view_cache: dict[tuple[str, str], tuple[typing.Any, ...]] = {}
+        self._store.observe(lambda change: self._view_cache.clear())
         self._register(peers)
         self._update_reachable()
 
     def servers(self, service: str) -> tuple[members.BackendServer, ...]:
-        """Returns the backend servers of a service that may get work."""
-        return self._view(entries.SERVER, service)
+        """Returns the usable backend servers of a service."""
+        return self._usable_members(entries.SERVER, service)
 
     def workers(self, domain: str) -> tuple[members.Worker, ...]:
-        """Returns the workers of a failure domain that may get work."""
-        return self._view(entries.WORKER, domain)
+        """Returns the usable workers of a failure domain."""
+        return self._usable_members(entries.WORKER, domain)
 
-    def known(self, kind: str) -> list[Known]:
+    def known(self, kind: str) -> list[KnownMember]:
         """Returns all present members of a kind, usable or not.
 
         Args:
@@ -129,21 +143,21 @@
         usable = {
             entries.member_key(member)
             for group in groups
-            for member in self._view(*group)
+            for member in self._usable_members(*group)
         }
         return [
-            Known(member, entries.member_key(member) in usable)
+            KnownMember(member, entries.member_key(member) in usable)
             for member in found
         ]
 
     def observe(self, observer: changes.Observer) -> None:
-        """Calls `observer` with each change that this VM learns of."""
+        """Registers an observer that is called with each change."""
         self._store.observe(observer)
 
     async def announce_server(
         self, server: members.BackendServer
     ) -> intake.Announced:
-        """Takes a backend server's announcement.
+        """Processes an announcement of a backend server.
 
         Raises:
             errors.LaburnumsillError: A type of `members.errors`.
@@ -159,7 +173,7 @@
         return self._announce(server)
 
     async def announce_worker(self, worker: members.Worker) -> intake.Announced:
-        """Takes a worker's announcement.
+        """Processes an announcement of a worker.
 
         Raises:
             errors.LaburnumsillError: A type of `members.errors`.
@@ -167,11 +181,11 @@
         return self._announce(worker)
 
     async def leave(self, kind: str, member_id: str, incarnation: str) -> None:
-        """Notes that a member is gone; repeating it is harmless.
+        """Records that a member has left; the operation is idempotent.
 
         Args:
             kind: `entries.SERVER` or `entries.WORKER`.
-            member_id: A worker's id, or `entries.server_member_id`.
+            member_id: Id of a worker, or `entries.server_member_id`.
             incarnation: The incarnation that leaves.
 
         Raises:
@@ -183,28 +197,32 @@
     async def run(
         self, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Does a round every `timing.TICK_S` until cancelled."""
+        """Calls `tick` every `timing.TICK_S` until cancelled."""
         task_status.started()
         while True:
             self.tick()
             await trio.sleep(timing.TICK_S)
 
     def tick(self) -> None:
-        """Does one round: expiry, probes, and sending what has gathered."""
+        """Expires members, sends due probes, cleans up and flushes the outbox.
+
+        After a stall, restarts the TTLs of watched members and probes all
+        domains.
+        """
         now = self._clock.monotonic()
-        if now - self._last_tick > timing.STALL_S:
-            self._stalled_at = now
-            self._watcher.renew()
-            self._syncer.probe_soon()
+        if now - self._last_tick > timing.STALL_TIMEOUT_S:
+            self._resumed_at = now
+            self._watcher.renew_expiries()
+            self._syncer.schedule_probes()
         self._last_tick = now
         self._update_reachable()
         self._watcher.expire()
-        self._syncer.probe(self._reach.by_domain)
-        if now >= self._housekeeping_at:
-            self._housekeeping_at = now + HOUSEKEEPING_S
-            self._housekeep(now)
-        self._outbox.flush(self._reach.vms)
-        self._views.clear()
+        self._syncer.send_probes(self._reachability.by_domain)
+        if now >= self._next_cleanup_at:
+            self._next_cleanup_at = now + CLEANUP_INTERVAL_S
+            self._clean_up(now)
+        self._outbox.flush(self._reachability.vms)
+        self._view_cache.clear()
 
     def _register(self, peers: replication.Peers) -> None:
         notices: dict[type, abc.Callable[[typing.Any], None]] = {
@@ -229,9 +247,11 @@
         return configuration.members
 
     def _update_reachable(self) -> None:
-        if self._reach.update():
-            self._watcher.set_vms(self._reach.by_domain[self._me.domain])
-            self._views.clear()
+        if self._reachability.update():
+            self._watcher.set_vms(
+                self._reachability.by_domain[self._local_vm.domain]
+            )
+            self._view_cache.clear()
 
     def _announce(self, member: entries.Member) -> intake.Announced:
         self._update_reachable()
@@ -239,40 +259,45 @@
         return self._intake.announce(member)
 
     def _on_probe(self, notice: messages.Probe) -> None:
-        """Answers a probe, but not just after this VM stood still."""
+        """Replies to a probe unless this VM stalled within the evidence TTL."""
         now = self._clock.monotonic()
-        ticking = now - self._last_tick <= timing.STALL_S
-        if ticking and now - self._stalled_at > timing.CONFIRM_S:
+        ticking = now - self._last_tick <= timing.STALL_TIMEOUT_S
+        if ticking and now - self._resumed_at > timing.EVIDENCE_TTL_S:
             self._syncer.on_probe(notice)
 
-    def _housekeep(self, now: float) -> None:
-        """Drops what nothing speaks for any more."""
+    def _clean_up(self, now: float) -> None:
+        """Removes old tombstones and unconfirmed entries; updates gauges."""
         self._watcher.count_watched()
-        self._store.forget_gone(now - timing.TOMBSTONE_S)
-        before = now - timing.DROP_S
+        self._store.remove_tombstones(now - timing.TOMBSTONE_TTL_S)
+        before = now - timing.UNCONFIRMED_TTL_S
         for name, domain in self._store.domains.items():
             self._metrics.gauge("members_known", len(domain), domain=name)
-            if self._reach.since(name) <= before:
-                for entry in syncing.unconfirmed(domain, before):
-                    self._store.forget(entry)
+            if self._reachability.reachable_since(name) <= before:
+                for entry in syncing.unconfirmed_entries(domain, before):
+                    self._store.remove(entry)
 
-    def _view(self, kind: str, name: str) -> tuple[typing.Any, ...]:
-        """Returns the usable members; remembered until the next change."""
+    def _usable_members(self, kind: str, name: str) -> tuple[typing.Any, ...]:
+        """Returns the usable members of a group; cached until the next change.
+
+        There are none while this VM is stalled.
+        """
         now = self._clock.monotonic()
-        if now - self._last_tick > timing.STALL_S:
+        if now - self._last_tick > timing.STALL_TIMEOUT_S:
             return ()
-        view = self._views.get((kind, name))
+        view = self._view_cache.get((kind, name))
         if view is None:
             view = tuple(
                 entry.member
-                for domain_name in self._reach.by_domain
-                for entry in self._usable(domain_name, (kind, name), now)
+                for domain_name in self._reachability.by_domain
+                for entry in self._usable_entries(
+                    domain_name, (kind, name), now
+                )
             )
-            self._views[(kind, name)] = view
+            self._view_cache[(kind, name)] = view
         return view
 
-    def _usable(
+    def _usable_entries(
         self, domain_name: str, group: entries.Group, now: float
     ) -> list[entries.Entry]:
         domain = self._store.domains[domain_name]
-        return syncing.usable(domain, group, now, self._stalled_at)
+        return syncing.usable_entries(domain, group, now, self._resumed_at)
--- a/laburnumsill/members/tests/cluster.py
+++ b/laburnumsill/members/tests/cluster.py
@@ -60,7 +60,7 @@
 
     def reachable(self) -> frozenset[str]:
         now = self.net.clock.monotonic()
-        limit = now - timing.REACHABLE_S
+        limit = now - timing.PEER_TIMEOUT_S
         heard = {vm for vm, at in self.heard.items() if at >= limit}
         return frozenset(heard | {self.me})
 
--- a/laburnumsill/members/tests/test_convergence.py
+++ b/laburnumsill/members/tests/test_convergence.py
@@ -152,7 +152,10 @@
 
 
 ANY_TROUBLE_S = (
-    timing.MAX_SERVER_TTL_S + timing.SUSPICION_S + 2 * timing.CONFIRM_S + 1.5
+    timing.MAX_SERVER_TTL_S
+    + timing.SUSPICION_TIMEOUT_S
+    + 2 * timing.EVIDENCE_TTL_S
+    + 1.5
 )
 """The bound with loss and delay of notices and any number of dead VMs."""
 
--- a/laburnumsill/members/tests/test_table.py
+++ b/laburnumsill/members/tests/test_table.py
@@ -72,7 +72,7 @@
     for rank in dying:
         if rank < per_domain:
             cluster.kill(watchers(cluster, server)[rank])
-    assert seconds_until_unused(cluster) <= timing.WORK_LIMIT_S
+    assert seconds_until_unused(cluster) <= timing.REMOVAL_LIMIT_S
 
 
 @pytest.mark.parametrize("delay_s", [0.3, 0.9, 1.5, 1.95, 2.05, 2.3])
@@ -92,7 +92,7 @@
                 cluster.kill(watchers(cluster, server)[rank])
             if any(cluster.servers(vm) for vm in cluster.alive()):
                 last_used = now
-        assert last_used - start <= timing.WORK_LIMIT_S
+        assert last_used - start <= timing.REMOVAL_LIMIT_S
 
 
 @pytest.mark.parametrize("dying", [(), (0,), (1,), (0, 1)])
@@ -104,7 +104,7 @@
     for rank in dying:
         cluster.kill(watchers(cluster, server)[rank])
     used = seconds_until_unused(cluster)
-    assert used <= (timing.WORK_LIMIT_S if dying else 0.2)
+    assert used <= (timing.REMOVAL_LIMIT_S if dying else 0.2)
 
 
 def test_a_server_that_left_is_unused_at_once_and_stays_so() -> None:
@@ -263,7 +263,9 @@
         server.busy = 8 * (n % 2)
         cluster.step()
     others = len(cluster.vms) - 1
-    assert 0 < cluster.sent["Rows"] <= (10 / timing.BUSY_INTERVAL_S) * others
+    assert (
+        0 < cluster.sent["Rows"] <= (10 / timing.MIN_BUSY_INTERVAL_S) * others
+    )
     server.busy = 5
     cluster.run(4.0)
     for vm in cluster.alive():
@@ -291,14 +293,16 @@
 
 
 def test_the_arithmetic_of_the_module_docstring_holds() -> None:
-    both = 2 * timing.TICK_S + timing.SUSPICION_S + timing.MARGIN_S
-    expiry = timing.FORWARD_S + timing.MAX_SERVER_TTL_S + both
-    assert expiry <= timing.WORK_LIMIT_S
-    inherited = timing.REACHABLE_S + timing.INHERITED_SERVER_TTL_S
+    both = 2 * timing.TICK_S + timing.SUSPICION_TIMEOUT_S + timing.MARGIN_S
+    expiry = timing.FORWARD_DELAY_S + timing.MAX_SERVER_TTL_S + both
+    assert expiry <= timing.REMOVAL_LIMIT_S
+    inherited = timing.PEER_TIMEOUT_S + timing.INHERITED_SERVER_TTL_S
     lost = inherited + 2 * timing.TICK_S + timing.MARGIN_S
-    assert lost <= timing.WORK_LIMIT_S
+    assert lost <= timing.REMOVAL_LIMIT_S
     interval = timing.server_interval_s(models.MemberPolicy())
-    assert interval + 0.4 + timing.FORWARD_S < timing.INHERITED_SERVER_TTL_S
+    assert (
+        interval + 0.4 + timing.FORWARD_DELAY_S < timing.INHERITED_SERVER_TTL_S
+    )
 
 
 def test_what_its_domain_has_forgotten_is_unused_in_time() -> None:
@@ -308,7 +312,7 @@
     for vm in cluster.vms:
         if vm.domain == server.domain:
             cluster.start(vm.vm_id)  # all at once, nobody notices them away
-    assert seconds_until_unused(cluster) <= timing.WORK_LIMIT_S
+    assert seconds_until_unused(cluster) <= timing.REMOVAL_LIMIT_S
 
 
 def test_a_vm_that_both_watchers_cannot_reach_finds_out_in_time() -> None:
@@ -319,7 +323,7 @@
     cluster.run(2.0)
     assert cluster.servers("vm20") == {"s0"}
     server.stop()
-    assert seconds_until_unused(cluster) <= timing.WORK_LIMIT_S
+    assert seconds_until_unused(cluster) <= timing.REMOVAL_LIMIT_S
 
 
 def test_a_member_that_changed_its_domain_is_known_once() -> None:
@@ -363,13 +367,13 @@
                     domain.evidence_at(entry)
                     for domain in cluster.tables[vm]._store.domains.values()
                     for entry in domain
-                    if entry.rank is None
+                    if entry.watcher_rank is None
                 )
                 if not vm.startswith("vm0")
                 else cluster.clock.monotonic()
             )
             age = cluster.clock.monotonic() - oldest
-            assert age < timing.PROBE_S + 2 * timing.PROBE_RETRY_S
+            assert age < timing.PROBE_INTERVAL_S + 2 * timing.PROBE_TIMEOUT_S
 
 
 def test_a_vm_that_is_cut_off_takes_no_announcements() -> None:
--- a/laburnumsill/members/timing.py
+++ b/laburnumsill/members/timing.py
@@ -1,119 +1,130 @@
-"""When members are announced, doubted and gone: the arithmetic.
+"""Timeouts and intervals of announcements and failure detection.
 
-Names: T is the TTL of backend servers, D the time within which peers count
-as reachable, and the constants below. A backend server falls silent at 0.
+T is the TTL of backend servers and D is `PEER_TIMEOUT_S`, after which a silent
+peer counts as unreachable. A backend server stops announcing itself at time 0.
 
-* Its two watchers hear its last announcement at `FORWARD_S` at the latest and
-  hold the deadline ``FORWARD_S + T`` each. A watcher whose deadline passes
-  asks the other one first, for at most `SUSPICION_S`, then tells every VM. So
-  every VM knows at::
+* Its two watchers receive its last announcement at `FORWARD_DELAY_S` at the
+  latest, so their TTLs end at ``FORWARD_DELAY_S + T``. A watcher whose TTL has
+  ended first queries the other watcher, for at most `SUSPICION_TIMEOUT_S`, and
+  then broadcasts that the server is gone. Every VM knows this at::
 
-      FORWARD_S + T + TICK_S + SUSPICION_S + TICK_S + MARGIN_S <= 3.0 s
+      FORWARD_DELAY_S + T + TICK_S + SUSPICION_TIMEOUT_S + TICK_S + MARGIN_S
+          <= 3.0 s
 
-  T is capped accordingly by `MAX_SERVER_TTL_S` (2.3 s, today T = 2.0 s). The
-  loss of one watcher, at whatever moment, does not matter: the other one
-  holds the same deadline from its own evidence.
-* If both watchers are lost at the moment 0, the next one finds out after
-  ``D + TICK_S`` and inherits the entry with the fresh, shorter TTL
+  `MAX_SERVER_TTL_S` limits T accordingly (2.3 s; the default of T is 2.0 s).
+  The loss of one watcher at any time does not matter, because the other one
+  received the same announcements and has the same expiry.
+* If both watchers are lost at time 0, the VM that succeeds them detects this
+  after ``D + TICK_S`` and watches the server with the shorter TTL
   `INHERITED_SERVER_TTL_S` = 1.5 s::
 
-      D + TICK_S + 1.5 + SUSPICION_S + TICK_S + MARGIN_S <= 3.0 s + 0.1 s
+      D + TICK_S + 1.5 s + SUSPICION_TIMEOUT_S + TICK_S + MARGIN_S
+          <= 3.0 s + 0.1 s
 
-  where SUSPICION_S counts only if a fourth VM does not answer; with up to
-  three VMs a domain it is 2.8 s. If the two watchers are lost later than the
-  server, by less than T, that time is added.
-* If no VM of the domain is left, its members are not usable after
+  SUSPICION_TIMEOUT_S counts only if a fourth VM does not answer; with up to
+  three VMs in the domain the sum is 2.8 s. If the two watchers are lost after
+  the server, the difference is added, which is less than T.
+* If no VM of the domain is left, its members become unusable after
   ``D + TICK_S``.
-* A VM that a notice did not reach finds out by its next probe, `PROBE_S`
-  later (with more than four domains the interval grows, so that probes stay
-  within `PROBE_BUDGET_BYTES_PER_S`), as both watchers tell every VM and
-  probes go to a VM that it can reach. What no VM of the domain has confirmed
-  is not usable after `CONFIRM_S`.
-* A server that says that it is leaving is out of use everywhere after
-  ``FORWARD_S + TICK_S + MARGIN_S``, or one announcement interval later if
-  both watchers died at that moment.
-
-The shortest TTL, 1.5 s, is longer than one announcement interval (T / 3), one
-attempt that runs into a dead VM (0.4 s) and `FORWARD_S`, so that the loss of
-VMs makes no live server seem gone.
-
-Traffic: an announcement costs a VM about `ANNOUNCEMENT_BYTES`. Workers are
-told to announce so seldom that a VM's part stays within
-`ANNOUNCEMENT_BUDGET_BYTES_PER_S`; their TTL is three such intervals then.
+* A VM that missed a broadcast detects this with its next probe, after
+  `PROBE_INTERVAL_S`, because both watchers broadcast to every VM and probes go
+  to reachable VMs. With more than four domains the interval grows, so that
+  probes stay within `PROBE_BUDGET_BYTES_PER_S`. A member that no VM of its
+  domain has confirmed becomes unusable after `EVIDENCE_TTL_S`.
+* A server that announces that it is leaving becomes unusable everywhere after
+  ``FORWARD_DELAY_S + TICK_S + MARGIN_S``, or one announcement interval later
+  if both watchers failed at that moment.
+
+The shortest TTL, 1.5 s, is longer than the sum of one announcement interval
+(T / 3), one failed announcement to a VM that is down (0.4 s) and
+`FORWARD_DELAY_S`, so that the loss of VMs does not expire live servers.
+
+Traffic: an announcement costs a VM about `ANNOUNCEMENT_BYTES`. The interval of
+workers grows with their number, so that the announcement traffic of a VM stays
+within `ANNOUNCEMENT_BUDGET_BYTES_PER_S`; their TTL is three intervals.
 """
 
 from laburnumsill.config import models
 from laburnumsill.core import members
 
-WORK_LIMIT_S = 3.0
-"""A server that is gone or leaving gets no new work after so long."""
+REMOVAL_LIMIT_S = 3.0
+"""Time limit after which a lost or leaving server gets no new work."""
 
 TICK_S = 0.05
-"""Time between two rounds of the table; notices are batched in between."""
+"""Interval of the ticks of the member table, which batch notices."""
 
-REACHABLE_S = 1.0
-"""Silence after which peers do not count as reachable."""
+PEER_TIMEOUT_S = 1.0
+"""Silence after which a peer counts as unreachable."""
 
-FORWARD_S = 0.1
-"""Time for an announcement to get from a VM to the watchers."""
+FORWARD_DELAY_S = 0.1
+"""Maximum time to forward an announcement from a VM to the watchers."""
 
 MARGIN_S = 0.15
-"""Network and a busy loop."""
+"""Allowance for network latency and delays of the event loop."""
 
-SUSPICION_S = 0.3
-"""How long a watcher waits for the other watcher before it says gone."""
+SUSPICION_TIMEOUT_S = 0.3
+"""Timeout of a query to the other watcher about a suspected member."""
 
 MAX_SERVER_TTL_S = 2.3
-"""Longest TTL of backend servers, see the arithmetic above."""
+"""Maximum TTL of backend servers; the module docstring derives it."""
 
 INHERITED_SERVER_TTL_S = 1.5
-"""TTL of a server whose watcher has changed and that was not heard yet."""
+"""TTL of a server from which its new watcher has received nothing yet."""
 
-PROBE_S = 0.5
-"""Time between two comparisons with a VM of each domain, if they are few."""
+PROBE_INTERVAL_S = 0.5
+"""Minimum time between two probes of a domain."""
 
-PROBE_RETRY_S = 0.3
-"""Time without an answer after which another VM is probed."""
+PROBE_TIMEOUT_S = 0.3
+"""Timeout of a probe, after which another VM of the domain is probed."""
 
 PROBE_BYTES = 125
-"""One probe and its answer, both ways."""
+"""Traffic of one probe and its reply."""
 
 PROBE_BUDGET_BYTES_PER_S = 1_000
-"""The part of the control budget that probes may take."""
+"""Share of the control traffic budget for probes."""
 
-CONFIRM_S = 2.0
-"""Age of the evidence for a member beyond which it is not used."""
+EVIDENCE_TTL_S = 2.0
+"""Maximum age of the evidence for a usable member that is not watched."""
 
-STALL_S = 1.0
-"""A gap between two rounds after which a VM distrusts what it knows."""
+STALL_TIMEOUT_S = 1.0
+"""Gap between two ticks after which a VM treats itself as stalled.
 
-DROP_S = 10.0
-"""Time without evidence, in a reachable domain, after which a row goes."""
+Its evidence from before the stall does not count.
+"""
+
+UNCONFIRMED_TTL_S = 10.0
+"""Time without evidence after which an entry is removed.
+
+It applies only while the domain is reachable.
+"""
 
-TOMBSTONE_S = 60.0
-"""How long a member that is gone is remembered."""
+TOMBSTONE_TTL_S = 60.0
+"""Retention time of tombstones."""
 
 ANNOUNCEMENTS_PER_TTL = 3
-"""Announcements in one TTL."""
+"""Number of announcements within one TTL."""
 
 MAX_WORKER_INTERVAL_S = 300.0
-"""Longest time between two announcements of a worker."""
+"""Maximum announcement interval of workers."""
 
 CONTROL_BUDGET_BYTES_PER_S = 6_000
-"""What one VM may spend on control, source: letter 1."""
+"""Control traffic budget of one VM."""
 
 ANNOUNCEMENT_BUDGET_BYTES_PER_S = CONTROL_BUDGET_BYTES_PER_S / 2
-"""The part of it that announcements may take."""
+"""Share of the control traffic budget for announcements."""
 
 ANNOUNCEMENT_BYTES = 700
-"""One announcement: HTTP both ways (473 measured), its part of the notices to
-and from two watchers (27 each) and the headers of TCP and IP."""
+"""Traffic of one announcement.
+
+It consists of HTTP request and response (473 bytes), the share in the notices
+to and from two watchers (27 bytes each) and TCP and IP headers.
+"""
 
-BUSY_INTERVAL_S = 2.0
-"""Least time between two notices about a server's busy slots alone."""
+MIN_BUSY_INTERVAL_S = 2.0
+"""Minimum time between two broadcasts of only the busy slots of a server."""
 
-BUSY_STEP_SHARE = 0.25
-"""Least change, as a share of its slots, that is worth such a notice."""
+MIN_BUSY_CHANGE_SHARE = 0.25
+"""Minimum change for such a broadcast, as a share of the slots."""
 
 Member = members.BackendServer | members.Worker
 
@@ -127,7 +138,9 @@
         >>> probe_interval_s(9)
         1.125
     """
-    return max(PROBE_S, domains * PROBE_BYTES / PROBE_BUDGET_BYTES_PER_S)
+    return max(
+        PROBE_INTERVAL_S, domains * PROBE_BYTES / PROBE_BUDGET_BYTES_PER_S
+    )
 
 
 def server_ttl_s(policy: models.MemberPolicy) -> float:
@@ -145,12 +158,12 @@
     return server_ttl_s(policy) / ANNOUNCEMENTS_PER_TTL
 
 
-def worker_interval_s(policy: models.MemberPolicy, watched: int) -> float:
+def worker_interval_s(policy: models.MemberPolicy, watched_count: int) -> float:
     """Returns the time between two announcements of a worker.
 
     Args:
         policy: The policy in force.
-        watched: Members that one VM watches.
+        watched_count: Number of members that one VM watches.
 
     Examples:
         >>> policy = models.MemberPolicy(worker_ttl_ms=6_000)
@@ -159,15 +172,17 @@
         >>> worker_interval_s(policy, 60)
         14.0
     """
-    shortest = policy.worker_ttl_ms / 1000 / ANNOUNCEMENTS_PER_TTL
-    affordable = watched * ANNOUNCEMENT_BYTES / ANNOUNCEMENT_BUDGET_BYTES_PER_S
-    return min(max(shortest, affordable), MAX_WORKER_INTERVAL_S)
+    ttl_interval_s = policy.worker_ttl_ms / 1000 / ANNOUNCEMENTS_PER_TTL
+    budget_interval_s = (
+        watched_count * ANNOUNCEMENT_BYTES / ANNOUNCEMENT_BUDGET_BYTES_PER_S
+    )
+    return min(max(ttl_interval_s, budget_interval_s), MAX_WORKER_INTERVAL_S)
 
 
 def ttl_s(
     policy: models.MemberPolicy, member: Member, interval_s: float
 ) -> float:
-    """Returns the TTL of a member that was told to announce so often."""
+    """Returns the TTL of a member with an announcement interval."""
     if isinstance(member, members.BackendServer):
         return server_ttl_s(policy)
     interval_s = min(interval_s, MAX_WORKER_INTERVAL_S)
@@ -178,17 +193,17 @@
     policy: models.MemberPolicy,
     member: Member,
     interval_s: float,
-    watched: int,
+    watched_count: int,
 ) -> float:
-    """Returns the TTL of a member that this VM has not heard of itself.
+    """Returns the TTL of a member from which this VM has received nothing.
 
     Args:
         policy: The policy in force.
         member: The member.
-        interval_s: How often it announces itself, as far as is known here.
-        watched: Members that this VM watches.
+        interval_s: Last known announcement interval of the member.
+        watched_count: Number of members that this VM watches.
     """
     if isinstance(member, members.BackendServer):
         return min(server_ttl_s(policy), INHERITED_SERVER_TTL_S)
-    usual_s = worker_interval_s(policy, watched)
-    return ttl_s(policy, member, max(interval_s, usual_s))
+    current_s = worker_interval_s(policy, watched_count)
+    return ttl_s(policy, member, max(interval_s, current_s))
--- a/laburnumsill/members/watching.py
+++ b/laburnumsill/members/watching.py
@@ -1,9 +1,10 @@
-"""The duty of a watcher: to hear its members and declare who is gone.
+"""Failure detection of members by the watchers in their failure domain.
 
-Each member has two watchers, the first two VMs of its own failure domain by
-rendezvous hash of its key over those that can be reached. Both hear every
-announcement, hold the deadline and broadcast changes to every VM; reports are
-joined by version, so that a second broadcast is harmless.
+Each member has two watchers: the first two VMs in the rendezvous hash order
+of its key over the reachable VMs of its own failure domain. Both receive
+every announcement of the member, track its expiry and broadcast changes to
+every VM. Reports are merged by version, so a duplicate broadcast has no
+effect.
 """
 
 import heapq
@@ -20,241 +21,267 @@
 from laburnumsill.members import store as stores
 from laburnumsill.members import timing
 
-WATCHERS = 2
-"""VMs that hear a member's every announcement."""
+WATCHERS_PER_MEMBER = 2
+"""Number of VMs that receive all announcements of a member."""
 
 
 class Watcher:
-    """Keeps the members of this VM's own failure domain.
+    """Detects lost members of this VM's own failure domain.
 
     Attributes:
-        watched: Members whose first watcher this VM is, about.
+        watched_count: Number of members whose first watcher is this VM, as of
+            the last call of `count_watched`.
     """
 
     def __init__(
         self,
-        me: str,
-        own: rows.DomainRows,
+        local_vm: str,
+        local_domain: rows.DomainEntries,
         store: stores.MemberStore,
         outbox: outboxes.Outbox,
         clock: clocks.Clock,
         policy: abc.Callable[[], models.MemberPolicy],
     ) -> None:
-        self.watched = 0
-        self._me = me
-        self._own = own
+        self.watched_count = 0
+        self._local_vm = local_vm
+        self._local_domain = local_domain
         self._store = store
         self._outbox = outbox
         self._clock = clock
         self._policy = policy
-        self._vms: tuple[str, ...] = (me,)
-        self._heap: list[tuple[float, int]] = []
-        self._queued: dict[int, float] = {}
+        self._vms: tuple[str, ...] = (local_vm,)
+        self._expiry_heap: list[tuple[float, int]] = []
+        self._scheduled: dict[int, float] = {}
 
     def set_vms(self, vms: abc.Iterable[str]) -> None:
-        """Takes up or drops members as VMs of the domain come and go."""
+        """Sets the reachable VMs of the domain and updates watcher ranks."""
         self._vms = tuple(sorted(vms))
-        for entry in self._own:
-            self._rank(entry)
-        self.count_watched()  # new TTLs depend on it
-        for entry in self._own:
-            self._adjust_due(entry)
+        for entry in self._local_domain:
+            self._update_rank(entry)
+        self.count_watched()  # TTLs of newly watched members depend on it
+        for entry in self._local_domain:
+            self._update_expiry(entry)
 
     def count_watched(self) -> None:
         """Counts the members whose first watcher this VM is."""
-        self.watched = sum(1 for e in self._own if e.rank == 0 and not e.gone)
+        self.watched_count = sum(
+            1 for e in self._local_domain if e.watcher_rank == 0 and not e.gone
+        )
 
-    def adopt(self, entry: entries.Entry) -> None:
-        """Decides whether this VM watches an entry."""
-        if entry.member.domain != self._own.domain:
+    def update_role(self, entry: entries.Entry) -> None:
+        """Updates watcher rank and expiry of an entry of the local domain."""
+        if entry.member.domain != self._local_domain.domain:
             return
-        self._rank(entry)
-        self._adjust_due(entry)
-
-    def note_heard(self, entry: entries.Entry, next_ms: int) -> None:
-        """Notes that a present member has just announced itself."""
-        entry.heard_at = self._clock.monotonic()
-        entry.next_ms = next_ms
-        entry.suspected_until = None
-        if entry.member.domain == self._own.domain:
-            self.adopt(entry)
-            if entry.rank is not None:
-                self._set_due(entry, self._ends(entry))
+        self._update_rank(entry)
+        self._update_expiry(entry)
+
+    def record_contact(self, entry: entries.Entry, interval_ms: int) -> None:
+        """Records that a present member has just announced itself."""
+        entry.last_contact_at = self._clock.monotonic()
+        entry.interval_ms = interval_ms
+        entry.suspicion_expires_at = None
+        if entry.member.domain == self._local_domain.domain:
+            self.update_role(entry)
+            if entry.watcher_rank is not None:
+                self._set_expiry(entry, self._expiry(entry))
                 self._broadcast_busy(entry)
 
     def broadcast_change(self, entry: entries.Entry) -> None:
-        """Tells every VM of a change if this VM watches the member."""
-        if entry.rank is not None:
+        """Broadcasts an entry if this VM is a watcher of the member."""
+        if entry.watcher_rank is not None:
             self.broadcast(entry)
 
     def broadcast(self, entry: entries.Entry) -> None:
-        """Tells every VM of an entry."""
+        """Broadcasts an entry to every reachable VM."""
         entry.broadcast_busy = entries.busy_of(entry.member)
         entry.broadcast_busy_at = self._clock.monotonic()
-        self._outbox.broadcast(entry.key, entry.row(self._clock.monotonic()))
+        self._outbox.queue_broadcast(
+            entry.key, entry.row(self._clock.monotonic())
+        )
 
-    def has_heard(self, entry: entries.Entry) -> bool:
-        """Returns whether this VM has heard a member within its TTL."""
-        heard_until = entry.heard_at + self._ttl_s(entry)
-        return not entry.gone and heard_until > self._clock.monotonic()
+    def has_recent_contact(self, entry: entries.Entry) -> bool:
+        """Returns whether the last contact is no older than the TTL."""
+        fresh_until = entry.last_contact_at + self._ttl_s(entry)
+        return not entry.gone and fresh_until > self._clock.monotonic()
 
-    def renew(self) -> None:
-        """Gives all watched members a fresh TTL, after this VM stood still."""
+    def renew_expiries(self) -> None:
+        """Restarts the TTL of all watched members after a stall of this VM."""
         now = self._clock.monotonic()
-        for entry in self._own:
-            if entry.rank is not None and not entry.gone:
-                entry.suspected_until = None
-                entry.adopted_at = now
-                self._set_due(entry, self._ends(entry))
+        for entry in self._local_domain:
+            if entry.watcher_rank is not None and not entry.gone:
+                entry.suspicion_expires_at = None
+                entry.watched_since = now
+                self._set_expiry(entry, self._expiry(entry))
 
     def expire(self) -> None:
-        """Says which members are gone by now."""
+        """Suspects expired members and declares unrefuted suspects gone."""
         now = self._clock.monotonic()
-        while self._heap and self._heap[0][0] <= now:
-            due, key = heapq.heappop(self._heap)
-            if self._queued.get(key) != due:
+        while self._expiry_heap and self._expiry_heap[0][0] <= now:
+            expires_at, key = heapq.heappop(self._expiry_heap)
+            if self._scheduled.get(key) != expires_at:
                 continue
-            del self._queued[key]
-            entry = self._own.get(key)
-            if entry is None or entry.gone or entry.due == math.inf:
+            del self._scheduled[key]
+            entry = self._local_domain.get(key)
+            if entry is None or entry.gone or entry.expires_at == math.inf:
                 continue
-            if entry.suspected_until is None:
-                # More may be known now of how often it announces itself.
-                entry.due = max(entry.due, self._ends(entry))
-            if entry.due > now:
-                self._set_due(entry, entry.due)
+            if entry.suspicion_expires_at is None:
+                # The announcement interval may have grown since the expiry
+                # was scheduled.
+                entry.expires_at = max(entry.expires_at, self._expiry(entry))
+            if entry.expires_at > now:
+                self._set_expiry(entry, entry.expires_at)
             else:
                 self._suspect(entry, now)
 
     def on_suspicion(self, notice: messages.Suspicion) -> None:
-        """Answers the other watcher."""
+        """Reports last contacts to a watcher that suspects members."""
         heard, silent = [], []
         for key in notice.keys:
-            entry = self._own.get(key)
-            if entry is None or not self.has_heard(entry):
+            entry = self._local_domain.get(key)
+            if entry is None or not self.has_recent_contact(entry):
                 silent.append(key)
             else:
-                heard.append(self._heard_elsewhere(entry))
-        answer = messages.SuspicionReply(self._me, tuple(heard), tuple(silent))
-        self._outbox.send(notice.sender, answer)
+                heard.append(self._last_contact(entry))
+        reply = messages.SuspicionReply(
+            self._local_vm, tuple(heard), tuple(silent)
+        )
+        self._outbox.send(notice.sender, reply)
 
-    def _rank(self, entry: entries.Entry) -> None:
+    def _update_rank(self, entry: entries.Entry) -> None:
         watchers = watchers_of(entry.key, self._vms)
-        mine = self._me in watchers
-        entry.rank = watchers.index(self._me) if mine else None
-
-    def _adjust_due(self, entry: entries.Entry) -> None:
-        """Takes up a deadline, or drops it."""
-        if entry.gone or entry.rank is None:
-            entry.due = math.inf
-            entry.suspected_until = None
-        elif entry.due == math.inf:
-            entry.adopted_at = self._clock.monotonic()
-            self._set_due(entry, self._ends(entry))
-
-    def contradict(
-        self, entry: entries.Entry, watchers: abc.Iterable[str]
-    ) -> None:
-        """Contradicts that a member is gone, as this VM has heard it.
+        is_watcher = self._local_vm in watchers
+        entry.watcher_rank = (
+            watchers.index(self._local_vm) if is_watcher else None
+        )
+
+    def _update_expiry(self, entry: entries.Entry) -> None:
+        """Schedules the expiry of a newly watched entry, or clears it."""
+        if entry.gone or entry.watcher_rank is None:
+            entry.expires_at = math.inf
+            entry.suspicion_expires_at = None
+        elif entry.expires_at == math.inf:
+            entry.watched_since = self._clock.monotonic()
+            self._set_expiry(entry, self._expiry(entry))
 
-        A watcher tells all VMs; another VM tells the watchers when it was.
+    def refute(self, entry: entries.Entry, watchers: abc.Iterable[str]) -> None:
+        """Refutes that a member is gone, given a recent contact.
+
+        A watcher broadcasts the entry to all VMs; any other VM sends the time
+        of the last contact to the watchers.
         """
-        if entry.rank is not None:
+        if entry.watcher_rank is not None:
             self.broadcast(entry)
             return
-        heard = (self._heard_elsewhere(entry),)
+        heard = (self._last_contact(entry),)
         for vm in watchers:
-            self._outbox.send(vm, messages.SuspicionReply(self._me, heard, ()))
+            self._outbox.send(
+                vm, messages.SuspicionReply(self._local_vm, heard, ())
+            )
 
     def on_suspicion_reply(self, notice: messages.SuspicionReply) -> None:
-        """Takes the other watcher's answer."""
+        """Confirms or cancels suspicions by another VM's last contacts."""
         for key in notice.silent:
-            entry = self._own.get(key)
-            if entry is None or entry.gone or entry.suspected_until is None:
+            entry = self._local_domain.get(key)
+            if (
+                entry is None
+                or entry.gone
+                or entry.suspicion_expires_at is None
+            ):
                 continue
-            if not self.has_heard(entry):
+            if not self.has_recent_contact(entry):
                 self._declare_gone(entry)
         for heard in notice.heard:
             key, digest, _, _, _ = heard
-            entry = self._own.get(key)
+            entry = self._local_domain.get(key)
             if entry is None or entry.digest != digest:
-                self._outbox.request_row(notice.sender, key)
+                self._outbox.queue_row_request(notice.sender, key)
             else:
-                self._take_heard_elsewhere(entry, heard)
+                self._merge_last_contact(entry, heard)
 
-    def _heard_elsewhere(self, entry: entries.Entry) -> messages.HeardElsewhere:
-        age_s = self._clock.monotonic() - entry.heard_at
+    def _last_contact(self, entry: entries.Entry) -> messages.LastContact:
+        age_s = self._clock.monotonic() - entry.last_contact_at
         sequence = entry.member.sequence
         age_ms = int(age_s * 1000)
-        return entry.key, entry.digest, sequence, age_ms, entry.next_ms
+        return entry.key, entry.digest, sequence, age_ms, entry.interval_ms
 
-    def _take_heard_elsewhere(
-        self, entry: entries.Entry, heard: messages.HeardElsewhere
+    def _merge_last_contact(
+        self, entry: entries.Entry, heard: messages.LastContact
     ) -> None:
-        _, _, sequence, age_ms, next_ms = heard
-        heard_at = self._clock.monotonic() - age_ms / 1000
+        _, _, sequence, age_ms, interval_ms = heard
+        last_contact_at = self._clock.monotonic() - age_ms / 1000
         busy = entries.busy_of(entry.member)
         member = entries.with_heartbeat(entry.member, sequence, busy)
         merged = self._store.merge(member, False)
         if entry.gone:
             return
-        entry.heard_at = max(entry.heard_at, heard_at)
-        entry.next_ms = max(entry.next_ms, next_ms)
-        entry.suspected_until = None
-        if entry.rank is not None:
-            self._set_due(entry, self._ends(entry))
-        if merged is stores.Merge.CHANGED:
+        entry.last_contact_at = max(entry.last_contact_at, last_contact_at)
+        entry.interval_ms = max(entry.interval_ms, interval_ms)
+        entry.suspicion_expires_at = None
+        if entry.watcher_rank is not None:
+            self._set_expiry(entry, self._expiry(entry))
+        if merged is stores.MergeResult.CHANGED:
             self.broadcast_change(entry)
 
     def _suspect(self, entry: entries.Entry, now: float) -> None:
-        """Asks the other watcher; says gone if it cannot or did not answer."""
+        """Queries the other watcher about an expired member.
+
+        Declares the member gone if there is no other watcher or the query has
+        timed out.
+        """
         watchers = watchers_of(entry.key, self._vms)
-        others = [vm for vm in watchers if vm != self._me]
-        if entry.suspected_until is not None or not others:
+        others = [vm for vm in watchers if vm != self._local_vm]
+        if entry.suspicion_expires_at is not None or not others:
             self._declare_gone(entry)
             return
-        entry.suspected_until = now + timing.SUSPICION_S
-        self._set_due(entry, entry.suspected_until)
-        self._outbox.suspect(others[0], entry.key)
+        entry.suspicion_expires_at = now + timing.SUSPICION_TIMEOUT_S
+        self._set_expiry(entry, entry.suspicion_expires_at)
+        self._outbox.queue_suspicion(others[0], entry.key)
 
     def _declare_gone(self, entry: entries.Entry) -> None:
-        entry.due = math.inf
-        entry.suspected_until = None
+        entry.expires_at = math.inf
+        entry.suspicion_expires_at = None
         self._store.merge(entry.member, True)
         self.broadcast(entry)
 
     def _broadcast_busy(self, entry: entries.Entry) -> None:
-        """Tells of busy slots if they changed much and not too often."""
+        """Broadcasts busy slots after a large change, at a limited rate."""
         member = entry.member
-        if entry.rank != 0 or entries.kind_of(member) != entries.SERVER:
+        if entry.watcher_rank != 0 or entries.kind_of(member) != entries.SERVER:
             return
-        step = max(1.0, timing.BUSY_STEP_SHARE * getattr(member, "slots", 1))
-        if abs(entries.busy_of(member) - entry.broadcast_busy) < step:
+        min_change = max(
+            1.0, timing.MIN_BUSY_CHANGE_SHARE * getattr(member, "slots", 1)
+        )
+        if abs(entries.busy_of(member) - entry.broadcast_busy) < min_change:
             return
         now = self._clock.monotonic()
-        if now - entry.broadcast_busy_at >= timing.BUSY_INTERVAL_S:
+        if now - entry.broadcast_busy_at >= timing.MIN_BUSY_INTERVAL_S:
             self.broadcast(entry)
 
     def _ttl_s(self, entry: entries.Entry) -> float:
-        return timing.ttl_s(self._policy(), entry.member, entry.next_ms / 1000)
+        return timing.ttl_s(
+            self._policy(), entry.member, entry.interval_ms / 1000
+        )
 
-    def _ends(self, entry: entries.Entry) -> float:
-        """Returns when a watched member is gone unless heard again."""
+    def _expiry(self, entry: entries.Entry) -> float:
+        """Returns when the TTL of a watched member ends."""
         inherited_s = timing.inherited_ttl_s(
-            self._policy(), entry.member, entry.next_ms / 1000, self.watched
+            self._policy(),
+            entry.member,
+            entry.interval_ms / 1000,
+            self.watched_count,
         )
         return max(
-            entry.heard_at + self._ttl_s(entry),
-            entry.adopted_at + inherited_s,
+            entry.last_contact_at + self._ttl_s(entry),
+            entry.watched_since + inherited_s,
         )
 
-    def _set_due(self, entry: entries.Entry, due: float) -> None:
-        entry.due = due
-        if due < self._queued.get(entry.key, math.inf):
-            self._queued[entry.key] = due
-            heapq.heappush(self._heap, (due, entry.key))
+    def _set_expiry(self, entry: entries.Entry, expires_at: float) -> None:
+        entry.expires_at = expires_at
+        if expires_at < self._scheduled.get(entry.key, math.inf):
+            self._scheduled[entry.key] = expires_at
+            heapq.heappush(self._expiry_heap, (expires_at, entry.key))
 
 
 def watchers_of(key: int, vms: abc.Iterable[str]) -> list[str]:
     """Returns the watchers of a member among the VMs of its domain."""
-    return hashing.rendezvous_order(str(key), vms)[:WATCHERS]
+    return hashing.rendezvous_order(str(key), vms)[:WATCHERS_PER_MEMBER]
