--- a/laburnumsill/members/tests/cluster.py
+++ b/laburnumsill/members/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Member tables on an in-memory network in virtual time."""
+"""Cluster of member tables on an in-memory network in virtual time."""
 
 import collections
 import random
@@ -21,24 +21,25 @@
 STEP_S = 0.05
 LATENCY_S = 0.002
 SERVICE = "tee"
-AVOID_S = 30.0
+VM_BACKOFF_S = 30.0
+"""Time for which a member avoids a VM that did not answer."""
 
 
 def run_sync(coroutine: abc.Coroutine[typing.Any, typing.Any, typing.Any]):
-    """Runs a coroutine that never waits."""
+    """Runs a coroutine that must not suspend and returns its result."""
     try:
         coroutine.send(None)
     except StopIteration as end:
         return end.value
-    raise AssertionError("it waits")
+    raise AssertionError("the coroutine suspended")
 
 
 class MemoryPeers(replication.Peers):
-    def __init__(self, net: "Cluster", me: str) -> None:
-        self.net = net
-        self.me = me
+    def __init__(self, cluster: "Cluster", local_vm: str) -> None:
+        self.cluster = cluster
+        self.local_vm = local_vm
         self.handlers: dict[type, replication.Handler] = {}
-        self.heard: dict[str, float] = {}
+        self.last_contact_at: dict[str, float] = {}
 
     async def call(
         self, vm: str, request: object, deadline: float
@@ -46,7 +47,7 @@
         raise NotImplementedError
 
     def notify(self, vm: str, notice: object) -> None:
-        self.net.send(self.me, vm, notice)
+        self.cluster.send(self.local_vm, vm, notice)
 
     def on_call(
         self, request_type: type, handler: replication.AsyncHandler
@@ -59,14 +60,26 @@
         self.handlers[notice_type] = handler
 
     def reachable(self) -> frozenset[str]:
-        now = self.net.clock.monotonic()
+        now = self.cluster.clock.monotonic()
         limit = now - timing.PEER_TIMEOUT_S
-        heard = {vm for vm, at in self.heard.items() if at >= limit}
-        return frozenset(heard | {self.me})
+        found = {vm for vm, at in self.last_contact_at.items() if at >= limit}
+        return frozenset(found | {self.local_vm})
 
 
 class Cluster:
-    """`domains` x `per_domain` VMs; each `step` is one tick of all."""
+    """`domains` x `per_domain` VMs; each `step` ticks all tables once.
+
+    Attributes:
+        cuts: Pairs of VMs between which notices are lost.
+        dead: VMs that are down.
+        frozen: VMs whose process is suspended; notices wait for them.
+        loss: Probability that a notice is lost.
+        repeat: Probability that a notice is sent twice.
+        delay_s: Maximum latency of a notice.
+        sent: Number of sent notices by class name.
+        sent_bytes: Sent bytes by VM.
+        changes: Type and server id of the changes that each table reported.
+    """
 
     def __init__(
         self,
@@ -97,7 +110,7 @@
         self.peers: dict[str, MemoryPeers] = {}
         self.tables: dict[str, table.MemberTable] = {}
         self.changes: dict[str, list[tuple[str, str]]] = {}
-        self.members: list[Announcing] = []
+        self.members: list[AnnouncingMember] = []
         for vm in self.vms:
             self.start(vm.vm_id)
         self.run(0.3)
@@ -106,7 +119,7 @@
         return next(vm for vm in self.vms if vm.vm_id == vm_id)
 
     def start(self, vm_id: str) -> None:
-        """Starts a VM, or restarts it with nothing."""
+        """Starts a VM, or restarts it with an empty table."""
         self.dead.discard(vm_id)
         self.frozen.discard(vm_id)
         self.peers[vm_id] = MemoryPeers(self, vm_id)
@@ -137,7 +150,7 @@
                 if (vm.domain == domain) != (other.domain == domain):
                     self.cut(vm.vm_id, other.vm_id)
 
-    def linked(self, one: str, other: str) -> bool:
+    def connected(self, one: str, other: str) -> bool:
         return frozenset((one, other)) not in self.cuts
 
     def alive(self) -> list[str]:
@@ -151,24 +164,24 @@
         copies = 1 + (self.random.random() < self.repeat)
         for _ in range(copies):
             if self.random.random() >= self.loss:
-                late = self.clock.monotonic() + self.random.uniform(
+                arrives_at = self.clock.monotonic() + self.random.uniform(
                     LATENCY_S, max(LATENCY_S, self.delay_s)
                 )
-                self.queue.append((late, source, target, raw))
+                self.queue.append((arrives_at, source, target, raw))
 
     def step(self) -> None:
         self.clock.advance(STEP_S)
         now = self.clock.monotonic()
         for vm in self.alive():
             for other in self.alive():
-                if self.linked(vm, other):
-                    self.peers[vm].heard[other] = now
+                if self.connected(vm, other):
+                    self.peers[vm].last_contact_at[other] = now
         self._deliver(now)
         for member in self.members:
             member.step()
         for vm in self.alive():
             self.tables[vm].tick()
-        # What was sent in this tick and has arrived before the next one.
+        # Deliver notices of this tick that arrive before the next one.
         self._deliver(now + LATENCY_S)
 
     def run(self, seconds: float) -> None:
@@ -190,7 +203,7 @@
             due.sort()
             for item in due:
                 _, source, target, raw = item
-                if target in self.dead or not self.linked(source, target):
+                if target in self.dead or not self.connected(source, target):
                     continue
                 if target in self.frozen:
                     self.queue.append((now + STEP_S, source, target, raw))
@@ -200,14 +213,19 @@
                 handler(notice)
 
 
-class Announcing:
-    """A member that announces itself as told, through VMs in turn.
+class AnnouncingMember:
+    """A member that announces itself at the requested times.
+
+    After a failure it continues with the next VM; a sticky member keeps to a
+    VM that answers, any other uses the VMs in round-robin order.
 
     Attributes:
-        alive: Whether it announces itself.
-        vms: The VMs that it uses.
-        leaving: What it says of itself.
-        wait_s: How long one attempt at a VM that is down takes.
+        alive: Whether the member announces itself.
+        vms: The VMs to which it announces itself.
+        leaving: Value of `leaving` in its announcements.
+        busy: Value of `busy` in its announcements.
+        wait_s: Duration of a failed announcement to a VM that is down.
+        silent_since: Time of its last announcement, as recorded by a test.
     """
 
     def __init__(
@@ -234,13 +252,13 @@
         self._sticky = sticky
         self._turn = cluster.random.randrange(len(self.vms))
         self._next_at = 0.0
-        self._avoided: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
         cluster.members.append(self)
 
     def stop(self) -> None:
         self.alive = False
 
-    def soon(self) -> None:
+    def announce_soon(self) -> None:
         self._next_at = 0.0
 
     def report(self) -> members.BackendServer | members.Worker:
@@ -274,7 +292,7 @@
         now = self.cluster.clock.wall()
         if not self.alive or now < self._next_at:
             return
-        while self._avoided.get(vm := self._vm(), 0.0) > now:
+        while self._avoided_until.get(vm := self._vm(), 0.0) > now:
             self._turn += 1
         answer = self.announce(vm)
         if answer is None:
@@ -282,11 +300,13 @@
             if vm in self.cluster.alive():
                 self._next_at = now + STEP_S
             else:
-                # The balancer takes it out, at least for a while.
-                self._avoided[vm] = now + AVOID_S
+                # The load balancer removes the VM for some time.
+                self._avoided_until[vm] = now + VM_BACKOFF_S
                 self._next_at = now + self.wait_s
-            if all(self._avoided.get(each, 0.0) > now for each in self.vms):
-                self._avoided.clear()
+            if all(
+                self._avoided_until.get(each, 0.0) > now for each in self.vms
+            ):
+                self._avoided_until.clear()
         else:
             self._turn += 0 if self._sticky else 1
             self._next_at = answer.next_announce_at
@@ -299,12 +319,12 @@
             return None
         self.sequence += 1
         table_of_vm = self.cluster.tables[vm]
-        take = (
+        send = (
             table_of_vm.announce_worker
             if self.kind == "worker"
             else table_of_vm.announce_server
         )
         try:
-            return run_sync(take(self.report()))
+            return run_sync(send(self.report()))
         except errors.UnavailableError:
             return None
--- a/laburnumsill/members/tests/test_convergence.py
+++ b/laburnumsill/members/tests/test_convergence.py
@@ -1,4 +1,4 @@
-"""Whatever is lost, repeated, reordered or cut: quiet brings agreement."""
+"""Convergence of tables after lost, repeated and delayed notices."""
 
 import hypothesis
 import loguru
@@ -14,18 +14,18 @@
     ("worker", f"w{n}", f"d{n % 3}") for n in range(3)
 ]
 SETTLE_S = 8.0
-"""Longer than the TTL of workers, several probes and a drop of a row."""
+"""Time to converge: longer than the worker TTL and several probe intervals."""
 
 
 class Convergence(stateful.RuleBasedStateMachine):
-    """Nine VMs in three domains, seven members, and a bad network."""
+    """Nine VMs in three domains, seven members and an unreliable network."""
 
     def __init__(self) -> None:
         super().__init__()
-        loguru.logger.disable("laburnumsill")  # thousands of lines a run
+        loguru.logger.disable("laburnumsill")  # thousands of lines per run
         self.cluster = clusters.Cluster(seed=7)
         self.members = {
-            member_id: clusters.Announcing(
+            member_id: clusters.AnnouncingMember(
                 self.cluster, kind, member_id, domain, sticky=False
             )
             for kind, member_id, domain in MEMBERS
@@ -98,33 +98,33 @@
         self.members[member_id].leaving = leaving
 
     @stateful.rule(
-        late=strategies.sampled_from(VMS), index=strategies.integers(0, 6)
+        vm=strategies.sampled_from(VMS), index=strategies.integers(0, 6)
     )
-    def announce_late(self, late: str, index: int) -> None:
-        """A repeated announcement of a sequence that is long past."""
+    def announce_late(self, vm: str, index: int) -> None:
+        """Sends an announcement with an outdated sequence."""
         member = self.members[MEMBERS[index][1]]
-        if late in self.cluster.alive() and member.sequence > 2:
+        if vm in self.cluster.alive() and member.sequence > 2:
             member.sequence -= 2
-            member.announce(late)
+            member.announce(vm)
             member.sequence += 1
             member.silent_since = self.cluster.clock.monotonic()
 
     @stateful.rule()
     def quiet(self) -> None:
-        """Once nothing more happens all VMs agree with the truth."""
+        """Ends all faults; then every VM uses exactly the live members."""
         cluster = self.cluster
         cluster.cuts.clear()
         cluster.frozen.clear()
         cluster.loss = cluster.repeat = 0.0
         cluster.delay_s = clusters.LATENCY_S
         cluster.run(SETTLE_S)
-        by_domain = {
+        live_domains = {
             vm.domain for vm in cluster.vms if vm.vm_id in cluster.alive()
         }
         usable = {
             m.member_id
             for m in self.members.values()
-            if m.alive and not m.leaving and m.domain in by_domain
+            if m.alive and not m.leaving and m.domain in live_domains
         }
         for vm in cluster.alive():
             servers = cluster.servers(vm)
@@ -136,8 +136,8 @@
             assert servers | workers == usable, vm
 
     @stateful.invariant()
-    def no_server_is_used_that_is_long_gone(self) -> None:
-        """Holds in any trouble: evidence is at most so old."""
+    def no_long_lost_server_is_usable(self) -> None:
+        """No VM uses a server that is silent beyond `MAX_SILENCE_S`."""
         now = self.cluster.clock.monotonic()
         for member in self.members.values():
             if member.alive:
@@ -148,16 +148,16 @@
                     continue
                 member = self.members[known.member.server_id]
                 silent_s = now - member.silent_since
-                assert silent_s <= ANY_TROUBLE_S, (vm, member.member_id)
+                assert silent_s <= MAX_SILENCE_S, (vm, member.member_id)
 
 
-ANY_TROUBLE_S = (
+MAX_SILENCE_S = (
     timing.MAX_SERVER_TTL_S
     + timing.SUSPICION_TIMEOUT_S
     + 2 * timing.EVIDENCE_TTL_S
     + 1.5
 )
-"""The bound with loss and delay of notices and any number of dead VMs."""
+"""Bound with lost and delayed notices and any number of VMs down."""
 
 
 Convergence.TestCase.settings = hypothesis.settings(
--- a/laburnumsill/members/tests/test_table.py
+++ b/laburnumsill/members/tests/test_table.py
@@ -9,29 +9,29 @@
 from laburnumsill.members import watching
 from laburnumsill.members.tests import cluster as clusters
 
-Announcing = clusters.Announcing
+AnnouncingMember = clusters.AnnouncingMember
 Cluster = clusters.Cluster
 
 
-def with_servers(
+def add_servers(
     cluster: Cluster, count: int = 1, domain: str = "d0", sticky: bool = False
-) -> list[Announcing]:
+) -> list[AnnouncingMember]:
     servers = [
-        Announcing(cluster, "server", f"s{n}", domain, sticky=sticky)
+        AnnouncingMember(cluster, "server", f"s{n}", domain, sticky=sticky)
         for n in range(count)
     ]
     cluster.run(1.0)
     return servers
 
 
-def watchers(cluster: Cluster, server: Announcing) -> list[str]:
+def watchers(cluster: Cluster, server: AnnouncingMember) -> list[str]:
     key = entries.member_key(server.report())
     vms = [v.vm_id for v in cluster.vms if v.domain == server.domain]
     return watching.watchers_of(key, vms)
 
 
 def seconds_until_unused(cluster: Cluster, limit: float = 6.0) -> float:
-    """Returns how long any VM goes on using any server."""
+    """Returns the time until no VM uses any server."""
     start = cluster.clock.monotonic()
     last_used = start
     while cluster.clock.monotonic() - start < limit:
@@ -41,10 +41,10 @@
     return last_used - start
 
 
-def test_a_member_is_known_everywhere_and_heartbeats_are_not() -> None:
+def test_new_members_are_broadcast_and_heartbeats_are_not() -> None:
     cluster = Cluster()
-    server = Announcing(cluster, "server", "s1", "d1")
-    worker = Announcing(cluster, "worker", "w1", "d2")
+    server = AnnouncingMember(cluster, "server", "s1", "d1")
+    worker = AnnouncingMember(cluster, "worker", "w1", "d2")
     cluster.run(0.2)
     for vm in cluster.alive():
         assert cluster.servers(vm) == {"s1"}
@@ -66,8 +66,8 @@
     dying: tuple[int, ...], after_s: float, per_domain: int
 ) -> None:
     cluster = Cluster(per_domain=per_domain)
-    server = with_servers(cluster)[0]
-    cluster.run(after_s)  # another phase of its announcements
+    server = add_servers(cluster)[0]
+    cluster.run(after_s)  # varies the phase of the announcements
     server.stop()
     for rank in dying:
         if rank < per_domain:
@@ -79,7 +79,7 @@
 def test_work_limit_when_the_watcher_dies_later(delay_s: float) -> None:
     for rank in (0, 1):
         cluster = Cluster()
-        server = with_servers(cluster)[0]
+        server = add_servers(cluster)[0]
         server.stop()
         start = cluster.clock.monotonic()
         last_used = start
@@ -96,25 +96,27 @@
 
 
 @pytest.mark.parametrize("dying", [(), (0,), (1,), (0, 1)])
-def test_a_leaving_server_is_unused_in_time(dying: tuple[int, ...]) -> None:
+def test_a_leaving_server_is_unused_within_the_limit(
+    dying: tuple[int, ...],
+) -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     server.leaving = True
-    server.soon()
+    server.announce_soon()
     for rank in dying:
         cluster.kill(watchers(cluster, server)[rank])
     used = seconds_until_unused(cluster)
     assert used <= (timing.REMOVAL_LIMIT_S if dying else 0.2)
 
 
-def test_a_server_that_left_is_unused_at_once_and_stays_so() -> None:
+def test_a_server_that_left_is_unused_until_its_next_incarnation() -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     server.stop()
     leave = cluster.tables["vm21"].leave
     clusters.run_sync(leave(entries.SERVER, "tee/s0", server.incarnation))
     assert seconds_until_unused(cluster) <= 0.2
-    server.announce("vm11")  # a late announcement of the same incarnation
+    server.announce("vm11")  # late announcement of the same incarnation
     cluster.run(0.5)
     assert all(not cluster.servers(vm) for vm in cluster.alive())
     server.incarnation = "00000002"
@@ -123,9 +125,9 @@
     assert all(cluster.servers(vm) for vm in cluster.alive())
 
 
-def test_the_death_of_vms_makes_no_live_server_seem_gone() -> None:
+def test_the_loss_of_vms_does_not_expire_live_servers() -> None:
     cluster = Cluster()
-    with_servers(cluster, 24)
+    add_servers(cluster, 24)
     for victim in ("vm00", "vm12", "vm01"):
         cluster.kill(victim)
         for _ in range(80):
@@ -141,7 +143,7 @@
 def test_a_cut_off_domain_serves_itself_and_is_not_used_from_outside() -> None:
     cluster = Cluster()
     for domain in ("d0", "d1"):
-        Announcing(cluster, "server", f"s-{domain}", domain, sticky=False)
+        AnnouncingMember(cluster, "server", f"s-{domain}", domain, sticky=False)
     cluster.run(1.0)
     cluster.isolate("d1")
     cluster.run(1.2)
@@ -156,9 +158,9 @@
         assert cluster.servers(vm) == {"s-d0", "s-d1"}
 
 
-def test_a_partial_cut_makes_nothing_flap() -> None:
+def test_a_partial_partition_does_not_make_members_flap() -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     first, second = watchers(cluster, server)
     server.vms = ["vm20"]
     for lost in (first, second):
@@ -168,7 +170,7 @@
             cluster.step()
             for vm in cluster.alive():
                 assert cluster.servers(vm) == {"s0"}
-    cluster.cut("vm20", first)  # now the third VM of the domain relays
+    cluster.cut("vm20", first)  # the third VM of the domain relays now
     for _ in range(200):
         cluster.step()
         for vm in cluster.alive():
@@ -178,7 +180,7 @@
 def test_a_restarted_vm_catches_up_on_hundreds_of_members() -> None:
     cluster = Cluster()
     for n in range(500):
-        Announcing(cluster, "worker", f"w{n}", "d0", sticky=False)
+        AnnouncingMember(cluster, "worker", f"w{n}", "d0", sticky=False)
     cluster.run(2.0)
     for restarted in ("vm00", "vm20"):
         cluster.kill(restarted)
@@ -191,15 +193,15 @@
 
 
 @pytest.mark.parametrize("frozen", ["vm00", "vm01", "vm02", "vm10"])
-def test_a_vm_that_stood_still_trusts_nothing_old(frozen: str) -> None:
+def test_a_vm_ignores_evidence_from_before_a_stall(frozen: str) -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     cluster.frozen.add(frozen)
     cluster.run(1.0)
     server.stop()
     cluster.run(5.0)
     cluster.frozen.clear()
-    # Before its first round, before any notice, and ever after.
+    # Unused before the first tick, before any notice, and from then on.
     assert not cluster.servers(frozen)
     cluster.tables[frozen].tick()
     assert not cluster.servers(frozen)
@@ -208,9 +210,9 @@
         assert all(not cluster.servers(vm) for vm in cluster.alive())
 
 
-def test_a_vm_that_stood_still_uses_live_members_again_soon() -> None:
+def test_a_vm_uses_live_members_again_soon_after_a_stall() -> None:
     cluster = Cluster()
-    with_servers(cluster, 5)
+    add_servers(cluster, 5)
     cluster.frozen.add("vm10")
     cluster.run(5.0)
     cluster.frozen.clear()
@@ -227,7 +229,7 @@
         site="fingal", domains=["d0"], classes=classes, services=services
     )
     cluster = Cluster(configuration=configuration)
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     table = cluster.tables["vm10"]
 
     def refused(error: type[Exception], **fields: object) -> None:
@@ -255,9 +257,9 @@
         clusters.run_sync(table.leave(entries.WORKER, "w9", "1"))
 
 
-def test_busy_slots_are_passed_on_at_a_bounded_rate() -> None:
+def test_busy_slots_are_broadcast_at_a_limited_rate() -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     cluster.sent.clear()
     for n in range(200):
         server.busy = 8 * (n % 2)
@@ -272,9 +274,9 @@
         assert cluster.tables[vm].servers(clusters.SERVICE)[0].busy == 5
 
 
-def test_observers_hear_of_each_change_once() -> None:
+def test_observers_receive_each_change_once() -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     server.incarnation = "00000002"
     server.sequence = 0
     cluster.run(1.0)
@@ -292,7 +294,7 @@
         ]
 
 
-def test_the_arithmetic_of_the_module_docstring_holds() -> None:
+def test_timeouts_satisfy_the_bounds_of_the_module_docstring() -> None:
     both = 2 * timing.TICK_S + timing.SUSPICION_TIMEOUT_S + timing.MARGIN_S
     expiry = timing.FORWARD_DELAY_S + timing.MAX_SERVER_TTL_S + both
     assert expiry <= timing.REMOVAL_LIMIT_S
@@ -305,19 +307,19 @@
     )
 
 
-def test_what_its_domain_has_forgotten_is_unused_in_time() -> None:
+def test_a_lost_server_is_unused_after_all_vms_of_its_domain_restart() -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     server.stop()
     for vm in cluster.vms:
         if vm.domain == server.domain:
-            cluster.start(vm.vm_id)  # all at once, nobody notices them away
+            cluster.start(vm.vm_id)  # all at once, so that no peer times out
     assert seconds_until_unused(cluster) <= timing.REMOVAL_LIMIT_S
 
 
-def test_a_vm_that_both_watchers_cannot_reach_finds_out_in_time() -> None:
+def test_a_vm_that_missed_both_broadcasts_detects_the_loss_in_time() -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     for watcher in watchers(cluster, server):
         cluster.cut("vm20", watcher)
     cluster.run(2.0)
@@ -328,7 +330,7 @@
 
 def test_a_member_that_changed_its_domain_is_known_once() -> None:
     cluster = Cluster()
-    server = with_servers(cluster)[0]
+    server = add_servers(cluster)[0]
     server.domain = "d1"
     server.incarnation = "00000002"
     cluster.run(1.0)
@@ -337,10 +339,10 @@
         assert [k.member.domain for k in known] == ["d1"]
 
 
-def test_workers_that_announce_seldom_outlive_their_watchers() -> None:
+def test_workers_with_long_intervals_survive_the_loss_of_watchers() -> None:
     cluster = Cluster()
     for n in range(400):
-        Announcing(cluster, "worker", f"w{n}", "d0", sticky=False)
+        AnnouncingMember(cluster, "worker", f"w{n}", "d0", sticky=False)
     cluster.run(60.0)
     interval_s = timing.worker_interval_s(models.MemberPolicy(), 133)
     assert interval_s > 2 * models.MemberPolicy().worker_ttl_ms / 1000
@@ -355,9 +357,9 @@
         assert "gone" not in [what for what, _ in cluster.changes[vm]]
 
 
-def test_a_vm_of_a_domain_that_does_not_answer_is_passed_over() -> None:
+def test_probes_skip_a_vm_that_does_not_answer() -> None:
     cluster = Cluster()
-    with_servers(cluster, 3)
+    add_servers(cluster, 3)
     cluster.kill("vm00")
     for _ in range(40):
         cluster.step()
@@ -376,9 +378,9 @@
             assert age < timing.PROBE_INTERVAL_S + 2 * timing.PROBE_TIMEOUT_S
 
 
-def test_a_vm_that_is_cut_off_takes_no_announcements() -> None:
+def test_a_vm_that_is_cut_off_rejects_announcements() -> None:
     cluster = Cluster(domains=1)
-    worker = Announcing(cluster, "worker", "w0", "d0", sticky=True)
+    worker = AnnouncingMember(cluster, "worker", "w0", "d0", sticky=True)
     worker._turn = 0
     cluster.run(1.0)
     for other in ("vm01", "vm02"):
@@ -391,7 +393,7 @@
 
 def test_the_only_vm_of_a_domain_serves_it_alone() -> None:
     cluster = Cluster(domains=2, per_domain=1)
-    Announcing(cluster, "worker", "w0", "d0", vms=["vm00"])
+    AnnouncingMember(cluster, "worker", "w0", "d0", vms=["vm00"])
     cluster.run(1.0)
     cluster.isolate("d0")
     cluster.run(6.0)
