--- a/laburnumsill/members/entries.py
+++ b/laburnumsill/members/entries.py
@@ -48,8 +48,8 @@
             resumed after a stall.
         suspicion_expires_at: When the query to the other watcher times out;
             None if the member is not suspected.
-        last_contact_at: When a VM last received an announcement, as far as
-            this VM knows.
+        last_contact_at: When an announcement last reached this VM or, as
+            reported in a `messages.SuspicionReply`, another VM.
         updated_at: When this VM last merged a newer report.
         confirmed_at: When a VM of the domain last confirmed the entry.
         interval_ms: Announcement interval of the member in milliseconds.
@@ -98,7 +98,7 @@
 
 
 def version(member: Member, gone: bool) -> Version:
-    """Returns the version of a report."""
+    """Returns the version of a report; see the module docstring."""
     return member.incarnation, member.sequence, gone
 
 
--- a/laburnumsill/members/intake.py
+++ b/laburnumsill/members/intake.py
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Announced:
-    """The answer to an announcement.
+    """Result of an announcement.
 
     Attributes:
         accepted: False if this VM knows the same or a later version.
@@ -50,7 +50,7 @@
         store: stores.MemberStore,
         watcher: watching.Watcher,
         outbox: outboxes.Outbox,
-        reachable: reachability.Reachability,
+        reachable_vms: reachability.Reachability,
         clock: clocks.Clock,
         policy: abc.Callable[[], models.MemberPolicy],
     ) -> None:
@@ -58,7 +58,7 @@
         self._store = store
         self._watcher = watcher
         self._outbox = outbox
-        self._reachability = reachable
+        self._reachability = reachable_vms
         self._clock = clock
         self._policy = policy
         self._random = random.Random(local_vm)
--- a/laburnumsill/members/messages.py
+++ b/laburnumsill/members/messages.py
@@ -45,8 +45,8 @@
     Attributes:
         sender: The VM that sends the notice.
         rows: The rows.
-        heard: Whether the rows are announcements that were just received, as
-            opposed to a broadcast.
+        heard: Whether the rows are forwarded announcements, which count as
+            contacts, as opposed to broadcasts.
         relayed: Whether the receiver must not relay the rows again.
     """
 
--- a/laburnumsill/members/rows.py
+++ b/laburnumsill/members/rows.py
@@ -119,9 +119,11 @@
                 return
             self._remove(key)
 
-    def confirm_bucket(self, number: int, at: float) -> None:
+    def confirm_bucket(self, number: int, confirmed_at: float) -> None:
         """Records that the digest of a bucket matched at a VM of the domain."""
-        self._confirmed_at[number] = max(self._confirmed_at[number], at)
+        self._confirmed_at[number] = max(
+            self._confirmed_at[number], confirmed_at
+        )
 
     def bucket_confirmed_at(self, number: int) -> float:
         """Returns when a bucket last matched at a VM of the domain."""
--- a/laburnumsill/members/table.py
+++ b/laburnumsill/members/table.py
@@ -3,9 +3,9 @@
 A member announces itself to any VM (`intake`), which forwards the announcement
 to the member's two watchers in its failure domain (`watching`). The watchers
 broadcast changes and declare members gone. Anti-entropy (`syncing`) repairs
-what lost notices left out. A backend server that is gone or leaving gets no
-new work after 3 s; `timing` derives the timeouts from this limit. Reports are
-merged by version, see `entries`.
+the differences that lost notices leave. A backend server that is gone or
+leaving gets no new work after 3 s; `timing` derives the timeouts from this
+limit. Reports are merged by version, see `entries`.
 """
 
 import dataclasses
--- a/laburnumsill/members/tests/test_table.py
+++ b/laburnumsill/members/tests/test_table.py
@@ -76,7 +76,9 @@
 
 
 @pytest.mark.parametrize("delay_s", [0.3, 0.9, 1.5, 1.95, 2.05, 2.3])
-def test_work_limit_when_the_watcher_dies_later(delay_s: float) -> None:
+def test_the_removal_limit_holds_when_a_watcher_is_lost_later(
+    delay_s: float,
+) -> None:
     for rank in (0, 1):
         cluster = Cluster()
         server = add_servers(cluster)[0]
--- a/laburnumsill/members/timing.py
+++ b/laburnumsill/members/timing.py
@@ -48,7 +48,7 @@
 from laburnumsill.core import members
 
 REMOVAL_LIMIT_S = 3.0
-"""Time limit after which a lost or leaving server gets no new work."""
+"""Maximum time for which a lost or leaving server may get new work."""
 
 TICK_S = 0.05
 """Interval of the ticks of the member table, which batch notices."""
@@ -182,7 +182,7 @@
 def ttl_s(
     policy: models.MemberPolicy, member: Member, interval_s: float
 ) -> float:
-    """Returns the TTL of a member with an announcement interval."""
+    """Returns the TTL of a member, given its announcement interval."""
     if isinstance(member, members.BackendServer):
         return server_ttl_s(policy)
     interval_s = min(interval_s, MAX_WORKER_INTERVAL_S)
