--- a/laburnumsill/requests/__init__.py
+++ b/laburnumsill/requests/__init__.py
@@ -1,8 +1,9 @@
-"""The request pipeline and the policies behind it.
+"""The HTTP request pipeline: a reverse proxy with at-most-once requests.
 
-`router.RequestRouter` takes a request through the filters, one a module:
-`read`, `classify`, `admit`, `claim`, `choose`, `dispatch`, `settle`,
-`answer`. `once` joins those of requests that run once only, `accept` and
-`durable` are for durable ones. `choose`, `limit`, `health` and `budget` hold
-the policies.
+`router.RequestRouter` passes a request through the pipeline's filters, each
+in a module of its own: `classify`, `read`, `admit`, `claim`, `dispatch`,
+`settle` and `answer`. `once` runs the filters of at-most-once requests;
+`accept` and `durable` handle durable requests. The policies are load
+balancing (`choose`), concurrency limits (`limit`), outlier ejection
+(`health`) and the retry budget (`budget`).
 """
--- a/laburnumsill/requests/admit.py
+++ b/laburnumsill/requests/admit.py
@@ -104,7 +104,7 @@
         self._room_valid_until = 0.0
         self._by_account: dict[str, int] = {}
 
-    async def enter(self, request: messages.RoutedRequest) -> Permit:
+    async def acquire(self, request: messages.RoutedRequest) -> Permit:
         """Waits for a slot.
 
         Raises:
@@ -122,7 +122,7 @@
             self._by_account.get(request.account, 0) + 1
         )
         try:
-            self.pump(request.service)
+            self.admit_waiting(request.service)
             if not waiting.decided.is_set():
                 self._make_room(queue, request)
             await self._wait(request, waiting)
@@ -135,7 +135,7 @@
             raise
         return Permit(lambda: self._leave(request))
 
-    def pump(self, service: str) -> None:
+    def admit_waiting(self, service: str) -> None:
         """Admits all that may go now."""
         gate = self._gates.get(service)
         if gate is None:
@@ -148,10 +148,10 @@
                 gate.in_flight[name] = gate.in_flight.get(name, 0) + 1
                 waiting.decided.set()
 
-    def pump_all(self) -> None:
+    def admit_all_waiting(self) -> None:
         """Admits all that may go now, in every service."""
         for service in list(self._gates):
-            self.pump(service)
+            self.admit_waiting(service)
 
     def _check(self, request: messages.RoutedRequest) -> None:
         if self._by_account.get(request.account, 0) >= request.max_in_flight:
@@ -241,7 +241,7 @@
     def _leave(self, request: messages.RoutedRequest) -> None:
         self._gates[request.service].in_flight[request.class_name] -= 1
         self._leave_account(request.account)
-        self.pump(request.service)
+        self.admit_waiting(request.service)
 
     def _leave_account(self, account: str) -> None:
         left = self._by_account[account] - 1
--- a/laburnumsill/requests/budget.py
+++ b/laburnumsill/requests/budget.py
@@ -1,22 +1,22 @@
-"""The retry budget: retries allowed for each request, on average."""
+"""The retry budget, which limits the ratio of retries to requests."""
 
 BURST = 10.0
-"""Retries that may be saved up, and those there are at the start."""
+"""Capacity of the bucket and its initial content, in retries."""
 
 
 class RetryBudget:
     """A token bucket filled by requests and emptied by retries.
 
     Args:
-        tokens: Retries there are at the start.
+        tokens: Initial number of retries.
 
     Examples:
         >>> budget = RetryBudget(0.0)
-        >>> budget.earn(0.5)
-        >>> budget.spend()
+        >>> budget.deposit(0.5)
+        >>> budget.try_spend()
         False
-        >>> budget.earn(0.5)
-        >>> budget.spend()
+        >>> budget.deposit(0.5)
+        >>> budget.try_spend()
         True
     """
 
@@ -25,15 +25,15 @@
 
     @property
     def empty(self) -> bool:
-        """Whether there is no retry left."""
+        """Whether no retry is left."""
         return self._tokens < 1.0
 
-    def earn(self, share: float) -> None:
-        """Adds what one request earns."""
+    def deposit(self, share: float) -> None:
+        """Adds `share` of a retry, for one request."""
         self._tokens = min(BURST, self._tokens + share)
 
-    def spend(self) -> bool:
-        """Takes one retry if there is one, and returns whether there was."""
+    def try_spend(self) -> bool:
+        """Takes one retry; returns False if none is left."""
         if self.empty:
             return False
         self._tokens -= 1.0
--- a/laburnumsill/requests/choose.py
+++ b/laburnumsill/requests/choose.py
@@ -21,11 +21,11 @@
     """Chooses one of several servers; it is never given none.
 
     Args:
-        draw: Source of random numbers.
+        rng: Source of random numbers.
     """
 
-    def __init__(self, draw: random.Random) -> None:
-        self._draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
 
     @abc.abstractmethod
     def choose(self, candidates: Candidates) -> servers.ServerState:
@@ -33,7 +33,7 @@
 
     def _two(self, candidates: Candidates) -> Candidates:
         """Returns two in random order, so that ties go to either."""
-        return self._draw.sample(candidates, min(2, len(candidates)))
+        return self._rng.sample(candidates, min(2, len(candidates)))
 
 
 class RandomChooser(Chooser):
@@ -41,7 +41,7 @@
 
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
-        return self._draw.choice(candidates)
+        return self._rng.choice(candidates)
 
 
 class LeastInFlightChooser(Chooser):
@@ -50,7 +50,7 @@
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
         least = min(state.in_flight for state in candidates)
-        return self._draw.choice(
+        return self._rng.choice(
             [state for state in candidates if state.in_flight == least]
         )
 
@@ -103,7 +103,7 @@
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
         count = min(self.SAMPLE, len(candidates))
-        sample = self._draw.sample(candidates, count)
+        sample = self._rng.sample(candidates, count)
         loads = sorted(_reported_load(state) for state in sample)
         limit = loads[min(count - 1, int(count * self.HOT_QUANTILE))]
         cold = [state for state in sample if _reported_load(state) < limit]
@@ -126,10 +126,10 @@
 }
 
 
-def make(name: str, draw: random.Random) -> Chooser:
+def make(name: str, rng: random.Random) -> Chooser:
     """Returns the chooser that the configuration calls `name`."""
     if name not in CHOOSERS:
         raise errors.UnknownNameError(
             f"no chooser {name!r}; there are {', '.join(CHOOSERS)}"
         )
-    return CHOOSERS[name](draw)
+    return CHOOSERS[name](rng)
--- a/laburnumsill/requests/claim.py
+++ b/laburnumsill/requests/claim.py
@@ -31,7 +31,7 @@
     """Claims requests in their home groups.
 
     Args:
-        me: This VM.
+        local_vm: This VM.
         groups: The replicated groups.
         settler: Records attempts that were given up.
         clock: The process's clock.
@@ -39,12 +39,12 @@
 
     def __init__(
         self,
-        me: topology.Vm,
+        local_vm: topology.Vm,
         groups: replication.Groups,
         settler: settle.Settler,
         clock: clocks.Clock,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._groups = groups
         self._settler = settler
         self._clock = clock
@@ -70,7 +70,7 @@
             request.claim_key,
             request.digest,
             attempt,
-            self._me.vm_id,
+            self._local_vm.vm_id,
             self._clock.wall_deadline(request.arrived),
             self._clock.wall(),
             end,
--- a/laburnumsill/requests/dispatch.py
+++ b/laburnumsill/requests/dispatch.py
@@ -1,7 +1,7 @@
-"""The filters choose and dispatch: sends a request to a backend server.
+"""The dispatch filter: chooses backend servers and sends requests to them.
 
-A request is sent again only where it is repeatable or where no byte of it
-can have reached a server, and only within the retry budget.
+A request is retried only if it is repeatable or no byte of it can have
+reached a server, and only within the retry budget.
 """
 
 import typing
@@ -20,17 +20,17 @@
 from laburnumsill.requests import policies as policies_module
 from laburnumsill.requests import servers
 
-SERVER_ERROR = 500
-"""Lowest HTTP status that counts as a failure of the server."""
+MIN_SERVER_ERROR_STATUS = 500
+"""Lowest HTTP status that counts as a server failure."""
 
-FAIR_TIMEOUT_SHARE = 0.5
-"""Part of its class's time that a request must have waited for its answer
-before a late one counts against the server: a caller that asks for too short
-a time must not get servers ejected."""
+MIN_TIMEOUT_SHARE = 0.5
+"""Share of the class's timeout after which a timed-out attempt counts as a
+server failure. Earlier timeouts are ignored, so that callers with very short
+deadlines cannot get servers ejected."""
 
 
 class Exchange:
-    """One attempt whose answer's head has arrived; close it in every case."""
+    """An attempt whose response head has arrived; callers must close it."""
 
     def __init__(
         self,
@@ -59,33 +59,33 @@
             async for chunk in self._answer.chunks():
                 yield chunk
         except backend.AnswerLateError:
-            raise  # maybe for a caller that reads slowly
+            raise  # a caller that reads slowly may be the cause
         except errors.OutcomeUnknownError:
-            self._end(servers.Failure.LOST)
+            self._finish(servers.Failure.LOST)
             raise
-        if self.status >= SERVER_ERROR:
-            self._end(servers.Failure.ERROR)
+        if self.status >= MIN_SERVER_ERROR_STATUS:
+            self._finish(servers.Failure.ERROR)
         else:
-            self._end(None)
+            self._finish(None)
 
     async def aclose(self) -> None:
-        """Ends the exchange; may be called again."""
+        """Closes the exchange; idempotent."""
         await self._answer.aclose()
         if self._open:
             self._open = False
-            self._dispatcher.broken_off(self._state)
+            self._dispatcher.abandon_attempt(self._state)
 
-    def _end(self, failure: servers.Failure | None) -> None:
+    def _finish(self, failure: servers.Failure | None) -> None:
         self._open = False
-        self._dispatcher.ended(self._state, failure)
+        self._dispatcher.finish_attempt(self._state, failure)
 
 
-class _Tries:
-    """What was tried for one request.
+class _Attempts:
+    """The attempts made for one request.
 
     Attributes:
-        servers: Ids of the servers that had an attempt.
-        count: Attempts so far.
+        servers: Ids of the servers that were attempted.
+        count: Number of attempts.
         sent: Whether a byte of any attempt may have reached a server.
     """
 
@@ -97,18 +97,22 @@
 
     @property
     def exhausted(self) -> bool:
-        """Whether there may be no further attempt."""
+        """Whether the limit of attempts is reached."""
         return self.count >= self._max_attempts
 
-    def note(self, state: servers.ServerState) -> None:
-        """Notes an attempt at a server."""
+    def record(self, state: servers.ServerState) -> None:
+        """Records an attempt at a server."""
         self.servers.add(state.server.server_id)
         self.count += 1
 
-    def truth(
+    def overall_error(
         self, error: errors.LaburnumsillError
     ) -> errors.LaburnumsillError:
-        """Returns the error that is true of all attempts, not of the last."""
+        """Returns the error that holds for all attempts, given the last one.
+
+        If an earlier attempt may have reached a server, a last attempt that
+        was not sent leaves the outcome unknown.
+        """
         if not isinstance(error, errors.UnavailableError):
             return error
         if self.sent:
@@ -116,37 +120,39 @@
         return errors.NoServerError(error.detail)
 
 
-def _repeats(error: errors.LaburnumsillError, attempt: str | None) -> bool:
-    """Returns whether a request may be sent again after `error`."""
+def _is_retryable(
+    error: errors.LaburnumsillError, attempt_id: str | None
+) -> bool:
+    """Returns whether a request may be retried after `error`."""
     if isinstance(error, backend.NotSentError):
         return True
-    return attempt is None and isinstance(error, errors.OutcomeUnknownError)
+    return attempt_id is None and isinstance(error, errors.OutcomeUnknownError)
 
 
 class Dispatcher:
     """Chooses servers and sends requests to them.
 
     Args:
-        me: This VM.
-        table: The present servers.
-        health: Which of them are ejected.
+        local_vm: This VM.
+        table: The known servers.
+        health: Outlier ejection.
         policies: The policies in force.
-        client: The way to the servers.
+        client: HTTP client for backend servers.
         clock: The process's clock.
-        metrics: Where attempts are counted.
+        metrics: The daemon's metrics.
     """
 
     def __init__(
         self,
-        me: topology.Vm,
+        local_vm: topology.Vm,
         table: servers.ServerTable,
-        health: health_module.Health,
+        health: health_module.OutlierDetector,
         policies: policies_module.Policies,
         client: backend.BackendClient,
         clock: clocks.Clock,
         metrics: metrics_module.Metrics,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._table = table
         self._health = health
         self._policies = policies
@@ -156,7 +162,7 @@
         self._budget = budget.RetryBudget()
 
     def capacity(self, service: str, share: float) -> float:
-        """Returns what this VM may have in flight, see `admit.Capacity`."""
+        """Returns this VM's concurrency limit, see `admit.Capacity`."""
         limiter = self._policies.limiter
         now = self._clock.monotonic()
         present = self._table.present(service)
@@ -164,105 +170,111 @@
         return sum(limiter.limit(state, share) for state in usable)
 
     async def run(
-        self, request: messages.RoutedRequest, attempt: str | None = None
+        self, request: messages.RoutedRequest, attempt_id: str | None = None
     ) -> Exchange:
-        """Sends a request until an answer's head is in.
+        """Sends a request, with retries, until a response head arrives.
 
         Args:
-            request: What to send.
-            attempt: Id of the one attempt that may send anything; None
-                where the request is repeatable.
+            request: The request.
+            attempt_id: Id of the claimed attempt of an at-most-once request;
+                None if the request is repeatable.
 
         Raises:
             errors.UnavailableError: No byte can have reached a server.
-            errors.OutcomeUnknownError: It may have run.
+            errors.OutcomeUnknownError: The request may have run.
         """
         policy = self._policies.request_policy
-        self._budget.earn(policy.retry_budget)
-        tries = _Tries(policy.max_attempts)
+        self._budget.deposit(policy.retry_budget)
+        attempts = _Attempts(policy.max_attempts)
         while True:
             try:
-                exchange = await self._try(request, tries, attempt)
+                exchange = await self._send_to_next_server(
+                    request, attempts, attempt_id
+                )
             except errors.LaburnumsillError as error:
-                if _repeats(error, attempt) and self._retry(request, tries):
+                if _is_retryable(error, attempt_id) and self._try_acquire_retry(
+                    request, attempts
+                ):
                     continue
-                truth = tries.truth(error)
-                if truth is error:
+                overall_error = attempts.overall_error(error)
+                if overall_error is error:
                     raise
-                raise truth from error
-            failed = exchange.status >= SERVER_ERROR
-            if not (failed and attempt is None):
+                raise overall_error from error
+            failed = exchange.status >= MIN_SERVER_ERROR_STATUS
+            if not (failed and attempt_id is None):
                 return exchange
-            if not self._retry(request, tries):
+            if not self._try_acquire_retry(request, attempts):
                 return exchange
-            await self._drop(exchange)
+            await self._discard(exchange)
 
-    def ended(
+    def finish_attempt(
         self, state: servers.ServerState, failure: servers.Failure | None
     ) -> None:
-        """Notes the end of an attempt, a success where `failure` is None."""
+        """Records the result of an attempt; `failure` is None on success."""
         state.in_flight -= 1
         if failure is None:
-            self._health.succeeded(state)
+            self._health.record_success(state)
         else:
-            self._health.failed(state, self._clock.monotonic(), failure)
+            self._health.record_failure(state, self._clock.monotonic(), failure)
 
-    def broken_off(self, state: servers.ServerState) -> None:
-        """Notes an attempt that tells nothing of the server."""
+    def abandon_attempt(self, state: servers.ServerState) -> None:
+        """Records an attempt that says nothing about the server's health."""
         state.in_flight -= 1
-        self._health.cancelled(state)
+        self._health.record_cancellation(state)
 
-    def _failure_of(
+    def _classify_failure(
         self,
         error: errors.LaburnumsillError,
         request: messages.RoutedRequest,
         started: float,
     ) -> servers.Failure | None:
-        """Returns what an error says of the server, None for nothing bad.
+        """Returns the server failure behind an error, None if there is none.
 
         Args:
             error: The error that ended the attempt.
-            request: What was sent.
-            started: Monotonic point of the attempt's start.
+            request: The request.
+            started: Monotonic time at which the attempt started.
         """
         if isinstance(error, backend.ConnectFailedError):
             return servers.Failure.REFUSED
         if isinstance(error, backend.AnswerLateError):
             waited_s = self._clock.monotonic() - started
-            fair_s = request.request_class.timeout_ms / 1000
-            if waited_s < FAIR_TIMEOUT_SHARE * fair_s:
+            class_timeout_s = request.request_class.timeout_ms / 1000
+            if waited_s < MIN_TIMEOUT_SHARE * class_timeout_s:
                 return None
         if isinstance(error, errors.OutcomeUnknownError):
             return servers.Failure.LOST
         return None
 
-    async def _try(
+    async def _send_to_next_server(
         self,
         request: messages.RoutedRequest,
-        tries: "_Tries",
-        attempt: str | None,
+        attempts: "_Attempts",
+        attempt_id: str | None,
     ) -> Exchange:
-        state = self._choose(request, tries)
-        tries.note(state)
+        state = self._choose(request, attempts)
+        attempts.record(state)
         try:
-            exchange = await self._attempt(request, state, attempt)
+            exchange = await self._send(request, state, attempt_id)
         except errors.OutcomeUnknownError:
-            tries.sent = True
+            attempts.sent = True
             raise
-        tries.sent = True
+        attempts.sent = True
         return exchange
 
-    def _retry(self, request: messages.RoutedRequest, tries: "_Tries") -> bool:
-        """Returns whether to try again, and takes it from the budget."""
-        if tries.exhausted or self._clock.monotonic() >= request.deadline:
+    def _try_acquire_retry(
+        self, request: messages.RoutedRequest, attempts: "_Attempts"
+    ) -> bool:
+        """Returns whether to retry; if so, takes a retry from the budget."""
+        if attempts.exhausted or self._clock.monotonic() >= request.deadline:
             return False
-        if self._budget.spend():
+        if self._budget.try_spend():
             return True
         self._metrics.count("retry_budget_empty_total")
         return False
 
-    async def _drop(self, exchange: Exchange) -> None:
-        """Reads a failed answer to its end, so that it is counted."""
+    async def _discard(self, exchange: Exchange) -> None:
+        """Reads an error answer to its end, which records the failure."""
         try:
             async for _ in exchange.chunks():
                 pass
@@ -271,17 +283,17 @@
         finally:
             await exchange.aclose()
 
-    async def _attempt(
+    async def _send(
         self,
         request: messages.RoutedRequest,
         state: servers.ServerState,
-        attempt: str | None,
+        attempt_id: str | None,
     ) -> Exchange:
         state.in_flight += 1
-        self._health.sent(state)
+        self._health.record_send(state)
         started = self._clock.monotonic()
         outgoing = backend.BackendRequest(
-            attempt or ids.fresh("att"),
+            attempt_id or ids.fresh("att"),
             request.method,
             request.target,
             request.headers,
@@ -295,34 +307,36 @@
             outcome = str(answer.status)
         except errors.LaburnumsillError as error:
             outcome = error.slug
-            failure = self._failure_of(error, request, started)
+            failure = self._classify_failure(error, request, started)
             if failure is None:
-                self.broken_off(state)
+                self.abandon_attempt(state)
             else:
-                self.ended(state, failure)
+                self.finish_attempt(state, failure)
             raise
         except BaseException:
-            self.broken_off(state)
+            self.abandon_attempt(state)
             raise
         finally:
             self._metrics.count(
                 "attempts_total", service=request.service, outcome=outcome
             )
         latency_s = self._clock.monotonic() - started
-        if answer.status < SERVER_ERROR:
+        if answer.status < MIN_SERVER_ERROR_STATUS:
             state.observe_latency(latency_s)
             self._policies.limiter.observe(state, latency_s)
         return Exchange(self, state, answer)
 
     def _choose(
-        self, request: messages.RoutedRequest, tries: "_Tries"
+        self, request: messages.RoutedRequest, attempts: "_Attempts"
     ) -> servers.ServerState:
-        usable = self._usable(request, tries.servers)
+        usable = self._usable(request, attempts.servers)
         if not usable:
             raise errors.NoServerError(
                 f"no backend server of {request.service!r} can take requests"
             )
-        candidates, why = self._candidates(request, usable, tries.count + 1)
+        candidates, reason = self._candidates(
+            request, usable, attempts.count + 1
+        )
         state = self._policies.chooser.choose(candidates)
         logs.decision(
             "request-routed",
@@ -330,10 +344,10 @@
             service=request.service,
             request_class=request.class_name,
             account=request.account,
-            attempt=tries.count + 1,
+            attempt=attempts.count + 1,
             server=state.server.server_id,
             among=len(candidates),
-            why=why,
+            why=reason,
             chooser=self._policies.request_policy.chooser,
             in_flight=state.in_flight,
             load=state.load,
@@ -344,29 +358,33 @@
         self,
         request: messages.RoutedRequest,
         usable: list[servers.ServerState],
-        number: int,
+        attempt_number: int,
     ) -> tuple[list[servers.ServerState], str]:
-        """Returns the servers to choose from, and why just these.
+        """Returns the servers to choose from, and the reason for the log.
 
-        An ejected server whose probe is due goes before all others, or a
-        chooser that finds enough idle ones would never win it back. Only a
-        first attempt that can be sent again is the probe.
+        An ejected server that is due for a probe is chosen before all others;
+        otherwise choosers would prefer idle servers and never probe it. Only
+        the first attempt of a request that can be retried is a probe.
+        Otherwise servers below their concurrency limits are preferred, first
+        those in this VM's failure domain.
         """
         if request.request_class.repeatable:
-            due = [state for state in usable if state.ejected]
-            if due and number == 1 and not self._budget.empty:
-                return due, "probe"
+            probes = [state for state in usable if state.ejected]
+            if probes and attempt_number == 1 and not self._budget.empty:
+                return probes, "probe"
             usable = [s for s in usable if not s.ejected] or usable
         limiter = self._policies.limiter
         for state in usable:
             state.limit = max(1.0, limiter.limit(state))
-        room = [s for s in usable if s.in_flight + 1 <= s.limit]
-        near = [s for s in room if s.server.domain == self._me.domain]
-        if near:
-            return near, "near"
-        if room:
-            return room, "far"
-        return _with_most_room(usable), "all-full"
+        below_limit = [s for s in usable if s.in_flight + 1 <= s.limit]
+        local = [
+            s for s in below_limit if s.server.domain == self._local_vm.domain
+        ]
+        if local:
+            return local, "near"
+        if below_limit:
+            return below_limit, "far"
+        return _least_over_limit(usable), "all-full"
 
     def _usable(
         self, request: messages.RoutedRequest, tried: abc.Set[str]
@@ -379,9 +397,9 @@
         return [s for s in usable if s.server.server_id not in tried]
 
 
-def _with_most_room(
+def _least_over_limit(
     states: list[servers.ServerState],
 ) -> list[servers.ServerState]:
-    """Returns the servers that are over their limits by least."""
-    most = max(state.limit - state.in_flight for state in states)
-    return [s for s in states if s.limit - s.in_flight >= most]
+    """Returns the servers that exceed their concurrency limits least."""
+    max_headroom = max(state.limit - state.in_flight for state in states)
+    return [s for s in states if s.limit - s.in_flight >= max_headroom]
--- a/laburnumsill/requests/health.py
+++ b/laburnumsill/requests/health.py
@@ -1,16 +1,16 @@
-"""Ejects backend servers that fail, and lets probes win them back.
-
-A server that takes no connection is ejected at once; nothing is lost by
-going elsewhere, as nothing was sent. One that fails quickly is always idle,
-so any chooser that looks at load would send it everything. It is ejected
-after `FAILURES_TO_EJECT` failures in a row; when its time is over, one
-repeatable request at a time is sent to it as a probe, and
-`SUCCESSES_TO_RETURN` successes in a row bring it back. Where it was ejected
-for taking no connection, any request may be the probe.
-
-A request that every server answers with an error must not take the service
-away from all others: with less than `LEAST_USABLE_SHARE` of the servers
-usable, those that answer, if only with errors, are used again.
+"""Outlier ejection of failing backend servers, with probes for their return.
+
+A server that refuses connections is ejected at once: nothing was sent, so
+the request can go to another server. A server that fails fast is always
+idle, so a chooser that balances load would send it all requests. It is
+ejected after `FAILURES_TO_EJECT` consecutive failures. When the ejection
+time is over, one repeatable request at a time is sent to it as a probe, and
+it returns after `SUCCESSES_TO_RETURN` consecutive successes. If it was
+ejected for refusing connections, any request may be the probe.
+
+A request that every server answers with an error must not make the service
+unavailable to other requests. If less than `MIN_USABLE_SHARE` of the
+answering servers are usable, ejections for error answers are ignored.
 """
 
 import random
@@ -21,22 +21,27 @@
 
 FAILURES_TO_EJECT = 3
 SUCCESSES_TO_RETURN = 2
-FIRST_EJECTION_S = 0.5
-LONGEST_EJECTION_S = 8.0
+INITIAL_EJECTION_S = 0.5
+MAX_EJECTION_S = 8.0
 
-LAST_RESORT_S = 3.0
-"""Time over its due after which any request may be the probe."""
+NON_REPEATABLE_PROBE_DELAY_S = 3.0
+"""Time after the end of an ejection from which a request that is not
+repeatable may be the probe too."""
 
+MIN_USABLE_SHARE = 0.5
+"""Usable share of the answering servers below which ejections for error
+answers are ignored (panic threshold)."""
 
-LEAST_USABLE_SHARE = 0.5
-"""Part of the answering servers below which ejections for errors are void."""
 
+class OutlierDetector:
+    """Ejects failing servers; updates the fields of `servers.ServerState`.
 
-class Health:
-    """Keeps the health fields of `servers.ServerState`."""
+    Args:
+        rng: Source of random numbers, for jitter.
+    """
 
-    def __init__(self, draw: random.Random) -> None:
-        self._draw = draw
+    def __init__(self, rng: random.Random) -> None:
+        self._rng = rng
 
     def usable(
         self,
@@ -54,8 +59,8 @@
         ]
         if len(usable) == len(states):
             return usable
-        answering = [state for state in states if _answers(state)]
-        if len(usable) < LEAST_USABLE_SHARE * len(answering):
+        answering = [state for state in states if _is_answering(state)]
+        if len(usable) < MIN_USABLE_SHARE * len(answering):
             return answering
         return usable
 
@@ -64,16 +69,16 @@
     ) -> bool:
         due = state.ejected_until
         if not (repeatable or state.failure is servers.Failure.REFUSED):
-            due += LAST_RESORT_S
+            due += NON_REPEATABLE_PROBE_DELAY_S
         return now >= due and not state.probing
 
-    def sent(self, state: servers.ServerState) -> None:
-        """Notes that a request goes out; to an ejected server it probes."""
+    def record_send(self, state: servers.ServerState) -> None:
+        """Records a send, which is a probe if the server is ejected."""
         if state.ejected:
             state.probing = True
 
-    def succeeded(self, state: servers.ServerState) -> None:
-        """Notes a whole answer that is no server error."""
+    def record_success(self, state: servers.ServerState) -> None:
+        """Records a complete answer without a server error."""
         state.failures = 0
         state.probing = False
         if not state.ejected:
@@ -84,13 +89,13 @@
             state.successes = 0
             logs.event("server-returned", server=state.server.server_id)
 
-    def failed(
+    def record_failure(
         self,
         state: servers.ServerState,
         now: float,
         failure: servers.Failure,
     ) -> None:
-        """Notes a failure."""
+        """Records a failure and ejects the server at the limit."""
         refused = failure is servers.Failure.REFUSED
         state.failure = failure
         state.failures += FAILURES_TO_EJECT if refused else 1
@@ -99,15 +104,13 @@
         if state.ejected or state.failures >= FAILURES_TO_EJECT:
             self._eject(state, now)
 
-    def cancelled(self, state: servers.ServerState) -> None:
-        """Notes that a request ended without telling of the server."""
+    def record_cancellation(self, state: servers.ServerState) -> None:
+        """Records a request that says nothing about the server's health."""
         state.probing = False
 
     def _eject(self, state: servers.ServerState, now: float) -> None:
-        length_s = min(
-            LONGEST_EJECTION_S, FIRST_EJECTION_S * 2**state.ejections
-        )
-        jittered_s = length_s * self._draw.uniform(0.8, 1.2)
+        length_s = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2**state.ejections)
+        jittered_s = length_s * self._rng.uniform(0.8, 1.2)
         state.ejected_until = now + jittered_s
         state.ejections = min(state.ejections + 1, 10)
         logs.event(
@@ -119,5 +122,5 @@
         )
 
 
-def _answers(state: servers.ServerState) -> bool:
+def _is_answering(state: servers.ServerState) -> bool:
     return not state.ejected or state.failure is servers.Failure.ERROR
--- a/laburnumsill/requests/limit.py
+++ b/laburnumsill/requests/limit.py
@@ -70,7 +70,7 @@
 
     def limit(self, state: servers.ServerState, share: float = 1.0) -> float:
         """Returns the limit, see the base class."""
-        free = state.server.slots * share - state.others
+        free = state.server.slots * share - state.busy_elsewhere
         return max(share, self._equal(state, share), free)
 
 
@@ -89,7 +89,7 @@
         slots = state.server.slots * share
         free = max(0.0, slots - state.server.busy)
         part = state.in_flight_at_report + free / self._entry_vms
-        if free < 1 and state.others > 0:
+        if free < 1 and state.busy_elsewhere > 0:
             part = state.in_flight_at_report - 1.0
         return max(share, self._equal(state, share), part)
 
--- a/laburnumsill/requests/messages.py
+++ b/laburnumsill/requests/messages.py
@@ -161,7 +161,7 @@
         self._body = body
         self._on_close = [] if on_close is None else [on_close]
 
-    def also_on_close(
+    def add_close_callback(
         self, callback: abc.Callable[[], abc.Awaitable[None]]
     ) -> None:
         """Calls `callback` too when the answer is closed."""
--- a/laburnumsill/requests/once.py
+++ b/laburnumsill/requests/once.py
@@ -46,7 +46,7 @@
     policy: models.RequestPolicy
 
 
-class OnceRunner:
+class AtMostOnceRunner:
     """Runs requests that are not repeatable.
 
     Args:
@@ -151,7 +151,7 @@
         policy = configuration.requests
         group = home.home_group(request.claim_key, configuration)
         try:
-            permit = await self._admission.enter(request)
+            permit = await self._admission.acquire(request)
         except errors.LaburnumsillError as error:
             return await self.refuse(request, configuration, error)
         kept = False
--- a/laburnumsill/requests/policies.py
+++ b/laburnumsill/requests/policies.py
@@ -16,18 +16,18 @@
     Args:
         current: The configuration in force.
         entry_vms: VMs that share each backend server.
-        draw: Source of random numbers.
+        rng: Source of random numbers.
     """
 
     def __init__(
         self,
         current: current_module.Current,
         entry_vms: int,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._current = current
         self._entry_vms = entry_vms
-        self._draw = draw
+        self._rng = rng
         self._settings: tuple[str, str, int] | None = None
         self._refresh()
 
@@ -65,7 +65,7 @@
             self._make(models.RequestPolicy())
 
     def _make(self, policy: models.RequestPolicy) -> None:
-        self._chooser = choose.make(policy.chooser, self._draw)
+        self._chooser = choose.make(policy.chooser, self._rng)
         self._limiter = limit.make(
             policy.limiter, self._entry_vms, policy.target_latency_ms / 1000
         )
--- a/laburnumsill/requests/router.py
+++ b/laburnumsill/requests/router.py
@@ -1,6 +1,8 @@
-"""The request router: the filters in a row.
+"""The request router, which passes each request through the filters.
 
-read, classify, admit, claim, choose, dispatch, settle, answer.
+The order is classify, read, admit, claim, dispatch, settle, answer. Requests
+that are repeatable (safe to run more than once) skip claim and settle;
+durable requests are only committed here, see `accept`.
 """
 
 import functools
@@ -35,24 +37,24 @@
 from laburnumsill.requests import servers
 from laburnumsill.requests import settle
 
-TICK_S = 0.1
-"""Period of the limiter's control loop and of looking for new slots."""
+CONTROL_INTERVAL_S = 0.1
+"""Interval at which the limiter adapts and queued requests are admitted."""
 
-TIDY_S = 10.0
-"""Period of closing connections to servers that are gone."""
+CONNECTION_CLEANUP_INTERVAL_S = 10.0
+"""Interval at which connections to departed servers are closed."""
 
-_DRAIN_POLL_S = 0.02
+_DRAIN_POLL_INTERVAL_S = 0.02
 
 
 class RequestRouter:
-    """Takes callers' requests to backend servers.
+    """Routes callers' requests to backend servers.
 
     Args:
-        me: This VM.
+        local_vm: This VM.
         groups: The replicated groups.
-        view: The present backend servers.
+        view: The known backend servers.
         current: The configuration in force.
-        client: The way to backend servers.
+        client: HTTP client for backend servers.
         clock: The process's clock.
         metrics: The daemon's metrics.
         entry_vms: VMs that share each backend server.
@@ -60,7 +62,7 @@
 
     def __init__(
         self,
-        me: topology.Vm,
+        local_vm: topology.Vm,
         groups: replication.Groups,
         view: members.MemberView,
         current: current_module.Current,
@@ -73,14 +75,14 @@
         self._current = current
         self._clock = clock
         self._metrics = metrics
-        draw = random.Random()
-        self._policies = policies.Policies(current, entry_vms, draw)
+        rng = random.Random()
+        self._policies = policies.Policies(current, entry_vms, rng)
         self._client = client
         self._table = servers.ServerTable(view)
         self._dispatcher = dispatch.Dispatcher(
-            me,
+            local_vm,
             self._table,
-            health.Health(draw),
+            health.OutlierDetector(rng),
             self._policies,
             client,
             clock,
@@ -90,8 +92,8 @@
             self._dispatcher.capacity, self._classes_of, clock, metrics
         )
         self._settler = settle.Settler(groups, clock, metrics)
-        claim_filter = claim.ClaimFilter(me, groups, self._settler, clock)
-        self._once = once.OnceRunner(
+        claim_filter = claim.ClaimFilter(local_vm, groups, self._settler, clock)
+        self._once = once.AtMostOnceRunner(
             self._admission,
             claim_filter,
             self._dispatcher,
@@ -105,7 +107,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Requests that have come in and not ended."""
+        """Number of requests received and not completed."""
         return self._in_flight
 
     async def run(
@@ -117,45 +119,47 @@
         async with trio.open_nursery() as nursery:
             self._settler.start(nursery)
             self._once.start(nursery)
-            nursery.start_soon(self._tidy)
+            nursery.start_soon(self._close_stale_connections)
             task_status.started()
             while True:
-                await trio.sleep(TICK_S)
+                await trio.sleep(CONTROL_INTERVAL_S)
                 self._policies.limiter.tick(self._clock.monotonic())
-                self._admission.pump_all()
+                self._admission.admit_all_waiting()
 
-    async def _tidy(self) -> None:
+    async def _close_stale_connections(self) -> None:
         while True:
-            await trio.sleep(TIDY_S)
+            await trio.sleep(CONNECTION_CLEANUP_INTERVAL_S)
             await self._client.tidy(self._table.addresses())
 
     async def drain(self, deadline: float) -> None:
         """Refuses new requests and waits for those in flight.
 
         Args:
-            deadline: Monotonic point after which it waits no more.
+            deadline: Monotonic time after which requests in flight are no
+                longer waited for.
         """
         self._draining = True
         while self._in_flight or self._settler.pending or self._once.running:
             if self._clock.monotonic() >= deadline:
-                logs.event("drain-cut", in_flight=self._in_flight)
+                logs.event("drain-timeout", in_flight=self._in_flight)
                 return
-            await trio.sleep(_DRAIN_POLL_S)
+            await trio.sleep(_DRAIN_POLL_INTERVAL_S)
 
     async def route(
         self,
         head: messages.RequestHead,
         body: abc.AsyncIterator[bytes],
     ) -> messages.Answer:
-        """Returns the answer to a caller's request; close it in every case.
+        """Returns the answer to a caller's request; callers must close it.
 
         Args:
             head: The request without its body.
-            body: The body as it arrives.
+            body: Chunks of the body as they arrive.
 
         Raises:
-            errors.LaburnumsillError: There is no backend server's answer;
-                `answer.outcome_of` tells what became of the request.
+            errors.LaburnumsillError: No backend server's answer is
+                available; `answer.outcome_of` maps the error to the
+                request's outcome.
         """
         self._in_flight += 1
         try:
@@ -163,11 +167,11 @@
         except BaseException:
             self._in_flight -= 1
             raise
-        result.also_on_close(self._ended)
+        result.add_close_callback(self._decrement_in_flight)
         return result
 
     async def known(self, key: str) -> lookup.Known:
-        """Returns what became of a key, see `lookup.known`."""
+        """Returns the status of an idempotency key, see `lookup.known`."""
         return await lookup.known(
             key, self._groups, self._configuration(), self._clock
         )
@@ -175,10 +179,10 @@
     async def run_durable(
         self, request: messages.RoutedRequest
     ) -> messages.Answer:
-        """Returns the answer to one dispatch of a durable request."""
+        """Dispatches a durable request once and returns the answer."""
         if request.request_class.repeatable:
             return await self._run_repeatable(request)
-        return await self._run_once(request)
+        return await self._run_at_most_once(request)
 
     async def _answer(
         self, head: messages.RequestHead, body: abc.AsyncIterator[bytes]
@@ -195,7 +199,7 @@
             outcome = str(answers.outcome_of(error))
             raise
         finally:
-            self._note(head, request, outcome)
+            self._record_metrics(head, request, outcome)
 
     def _classify(self, head: messages.RequestHead) -> classify.Classified:
         configuration = self._current.get()
@@ -213,7 +217,7 @@
             return await self._accept.accept(request, self._configuration())
         if request.request_class.repeatable:
             return await self._run_repeatable(request)
-        return await self._run_once(request)
+        return await self._run_at_most_once(request)
 
     async def _refuse_draining(
         self, request: messages.RoutedRequest
@@ -228,17 +232,17 @@
     async def _run_repeatable(
         self, request: messages.RoutedRequest
     ) -> messages.Answer:
-        permit = await self._admission.enter(request)
+        permit = await self._admission.acquire(request)
         try:
             exchange = await self._dispatcher.run(request)
         except BaseException:
             permit.release()
             raise
         return answers.streamed(
-            exchange, functools.partial(_release, exchange, permit)
+            exchange, functools.partial(_close_and_release, exchange, permit)
         )
 
-    async def _run_once(
+    async def _run_at_most_once(
         self, request: messages.RoutedRequest
     ) -> messages.Answer:
         return await self._once.run(request, self._configuration())
@@ -255,7 +259,7 @@
         names = entry.classes if entry else []
         return {name: configuration.classes[name] for name in names}
 
-    def _note(
+    def _record_metrics(
         self,
         head: messages.RequestHead,
         request: messages.RoutedRequest | None,
@@ -276,11 +280,13 @@
             account=account,
         )
 
-    async def _ended(self) -> None:
+    async def _decrement_in_flight(self) -> None:
         self._in_flight -= 1
 
 
-async def _release(exchange: dispatch.Exchange, permit: admit.Permit) -> None:
+async def _close_and_release(
+    exchange: dispatch.Exchange, permit: admit.Permit
+) -> None:
     try:
         await exchange.aclose()
     finally:
--- a/laburnumsill/requests/servers.py
+++ b/laburnumsill/requests/servers.py
@@ -1,4 +1,4 @@
-"""What this VM knows of each backend server beside its announcements."""
+"""This VM's state of each backend server: load, latency and health."""
 
 import dataclasses
 import enum
@@ -11,10 +11,10 @@
 
 
 class Failure(enum.Enum):
-    """How an attempt at a server failed.
+    """The kind of failure of an attempt at a server.
 
-    `REFUSED`: it took no connection. `LOST`: its answer did not come back
-    whole. `ERROR`: it answered with a server error.
+    `REFUSED`: the connection could not be made. `LOST`: the answer was
+    incomplete or missing. `ERROR`: the answer was a server error.
     """
 
     REFUSED = "refused"
@@ -27,17 +27,17 @@
     """One backend server as this VM sees it.
 
     Attributes:
-        server: Its newest announcement.
-        in_flight: Requests of this VM at it.
-        in_flight_at_report: The same when `server` was announced.
-        limit: Most requests of this VM at it, as last computed.
-        latency_s: Moving mean of its latency, measured from the send.
-        failures: Failures in a row.
+        server: The newest announcement.
+        in_flight: Number of this VM's requests in flight to the server.
+        in_flight_at_report: `in_flight` when `server` was announced.
+        limit: Concurrency limit for this VM's requests, as last computed.
+        latency_s: Moving mean of the latency, measured from the send.
+        failures: Consecutive failures.
         failure: The last failure, or None.
-        successes: Successes in a row since it was ejected.
-        ejected_until: Monotonic point; a probe may go out after it.
-        ejections: Ejections in a row, for the backoff.
-        probing: Whether a probe is at it.
+        successes: Consecutive successes since the server was ejected.
+        ejected_until: Monotonic time from which a probe may be sent.
+        ejections: Consecutive ejections, for the exponential backoff.
+        probing: Whether a probe is in flight.
     """
 
     server: members.BackendServer
@@ -54,33 +54,33 @@
 
     @property
     def ejected(self) -> bool:
-        """Whether it gets nothing but probes."""
+        """Whether the server is ejected and receives only probes."""
         return self.ejections > 0
 
     @property
-    def others(self) -> int:
-        """Slots that other VMs used when the server last reported."""
+    def busy_elsewhere(self) -> int:
+        """Slots in use by other VMs at the newest announcement."""
         return max(0, self.server.busy - self.in_flight_at_report)
 
     @property
     def load(self) -> int:
-        """Best estimate of the slots in use now."""
-        return self.in_flight + self.others
+        """Estimate of the slots in use now, by all VMs."""
+        return self.in_flight + self.busy_elsewhere
 
-    def report(self, server: members.BackendServer) -> None:
-        """Takes in a newer announcement."""
+    def observe_announcement(self, server: members.BackendServer) -> None:
+        """Updates the state from an announcement."""
         if server is self.server:
             return
-        fresh = (server.incarnation, server.sequence) != (
+        is_newer = (server.incarnation, server.sequence) != (
             self.server.incarnation,
             self.server.sequence,
         )
         self.server = server
-        if fresh:
+        if is_newer:
             self.in_flight_at_report = self.in_flight
 
     def observe_latency(self, latency_s: float) -> None:
-        """Takes in the latency of one whole answer."""
+        """Adds the latency of one answer to the moving mean."""
         if self.latency_s == 0.0:
             self.latency_s = latency_s
         else:
@@ -88,26 +88,29 @@
 
 
 class ServerTable:
-    """The present servers of each service, with what this VM knows of them.
+    """The known servers of each service and this VM's state of them.
 
-    A server that comes back under a new incarnation starts afresh.
+    A server that returns with a new incarnation gets a new state.
+
+    Args:
+        view: The announced backend servers.
     """
 
     def __init__(self, view: members.MemberView) -> None:
         self._view = view
         self._states: dict[str, dict[str, ServerState]] = {}
-        self._seen: dict[str, tuple[members.BackendServer, ...]] = {}
+        self._last_views: dict[str, tuple[members.BackendServer, ...]] = {}
 
     def present(self, service: str) -> abc.Collection[ServerState]:
-        """Returns the servers of a service that may get work."""
+        """Returns the servers of a service, without those that are leaving."""
         servers = self._view.servers(service)
-        if self._seen.get(service) is not servers:
-            self._seen[service] = servers
+        if self._last_views.get(service) is not servers:
+            self._last_views[service] = servers
             self._refresh(service, servers)
         return self._states[service].values()
 
     def addresses(self) -> frozenset[str]:
-        """Returns the addresses of the present servers of all services."""
+        """Returns the addresses of the servers of all services."""
         return frozenset(
             state.server.address
             for service in list(self._states)
@@ -123,12 +126,12 @@
             if server.leaving:
                 continue
             state = old.get(server.server_id)
-            same_life = (
+            same_incarnation = (
                 state is not None
                 and state.server.incarnation == server.incarnation
             )
-            if state is None or not same_life:
+            if state is None or not same_incarnation:
                 state = ServerState(server)
-            state.report(server)
+            state.observe_announcement(server)
             new[server.server_id] = state
         self._states[service] = new
--- a/laburnumsill/requests/tests/support.py
+++ b/laburnumsill/requests/tests/support.py
@@ -179,9 +179,9 @@
     def router(
         self, name: str = "vm0", groups: replication.Groups | None = None
     ) -> routers.RequestRouter:
-        me = topology.Vm(name, "north", "", "", True)
+        local_vm = topology.Vm(name, "north", "", "", True)
         return routers.RequestRouter(
-            me,
+            local_vm,
             groups or self.groups,
             self.view,
             self.current,
