--- a/laburnumsill/requests/accept.py
+++ b/laburnumsill/requests/accept.py
@@ -1,4 +1,4 @@
-"""The filter for durable requests: accepts them once they are committed."""
+"""The accept filter: commits durable requests before they are accepted."""
 
 import orjson
 import trio
@@ -12,10 +12,10 @@
 from laburnumsill.requests import messages
 from laburnumsill.state import durable
 
-ACCEPT_PATIENCE_S = 1.5
-"""Longest wait for the commit, which bridges the election of a leader."""
+ACCEPT_TIMEOUT_S = 1.5
+"""Timeout for the commit, long enough for a leader election."""
 
-_PAUSE_S = 0.05
+_RETRY_INTERVAL_S = 0.05
 
 
 class DurableExpiredError(errors.LaburnumsillError):
@@ -43,21 +43,23 @@
         request: messages.RoutedRequest,
         configuration: models.Configuration,
     ) -> messages.Answer:
-        """Returns the answer once the request is committed.
+        """Commits a request and returns its acceptance or known result.
 
         Raises:
-            errors.OverloadedError: Nothing of this key is kept.
+            errors.OverloadedError: The request was not accepted, nor was an
+                earlier send of its key.
             messages.HomeUnreachableError: This or an earlier send of the
                 key may have been accepted.
             errors.KeyReusedError: The key belongs to another request.
-            DurableExpiredError: It was accepted before and did not succeed.
+            DurableExpiredError: The request was accepted before and ended
+                without success.
         """
         group = home.home_group(request.claim_key, configuration)
         command = self._command(request, configuration.requests)
-        until = min(
-            request.deadline, self._clock.monotonic() + ACCEPT_PATIENCE_S
+        propose_deadline = min(
+            request.deadline, self._clock.monotonic() + ACCEPT_TIMEOUT_S
         )
-        status = await self._propose(group, command, until)
+        status = await self._propose(group, command, propose_deadline)
         logs.decision(
             "durable-accepted",
             request=request.request_id,
@@ -91,12 +93,15 @@
         )
 
     async def _propose(
-        self, group: str, command: durable.AcceptDurable, until: float
+        self,
+        group: str,
+        command: durable.AcceptDurable,
+        propose_deadline: float,
     ) -> durable.DurableStatus:
         while True:
             try:
                 status: durable.DurableStatus = await self._groups.propose(
-                    group, command, until
+                    group, command, propose_deadline
                 )
                 return status
             except errors.OverloadedError:
@@ -104,9 +109,12 @@
             except errors.UnavailableError as error:
                 raise messages.HomeUnreachableError(error.detail) from error
             except errors.ProposalLostError as error:
-                if self._clock.monotonic() + _PAUSE_S >= until:
+                if (
+                    self._clock.monotonic() + _RETRY_INTERVAL_S
+                    >= propose_deadline
+                ):
                     raise messages.HomeUnreachableError(error.detail) from error
-            await trio.sleep(_PAUSE_S)
+            await trio.sleep(_RETRY_INTERVAL_S)
 
 
 def _answer(
--- a/laburnumsill/requests/answer.py
+++ b/laburnumsill/requests/answer.py
@@ -1,4 +1,4 @@
-"""The last filter: makes the caller's answer, whole or streamed."""
+"""The answer filter: builds the caller's answer, complete or streamed."""
 
 import typing
 
@@ -14,7 +14,7 @@
     exchange: dispatch.Exchange,
     on_close: typing.Callable[[], typing.Awaitable[None]],
 ) -> messages.Answer:
-    """Returns an answer that is passed on as it arrives."""
+    """Returns an answer whose body is streamed from the server."""
     return messages.Answer(
         messages.Outcome.ANSWERED,
         exchange.status,
@@ -25,20 +25,22 @@
 
 
 def stored(answer: answers.StoredAnswer) -> messages.Answer:
-    """Returns an answer that is at hand whole."""
+    """Returns an answer with a complete, stored body."""
     return messages.Answer(
         messages.Outcome.ANSWERED, answer.status, answer.headers, answer.body
     )
 
 
-def of_claim(status: claim_records.ClaimStatus) -> messages.Answer:
-    """Returns the answer to a resend, from what is known of its key.
+def from_claim_status(status: claim_records.ClaimStatus) -> messages.Answer:
+    """Returns the answer to a resend, from the claim of its key.
 
     Raises:
-        errors.InProgressError: It runs, or is about to.
-        errors.OutcomeUnknownError: It may have run and never will again.
-        messages.AnswerNotKeptError: It was answered, but is not kept.
-        errors.UnavailableError: It was not run; a resend may be.
+        errors.InProgressError: The request is running or about to run.
+        errors.OutcomeUnknownError: The request may have run and will not be
+            run again.
+        messages.AnswerNotKeptError: The request was answered, but its answer
+            was not stored.
+        errors.UnavailableError: The request was not run; a resend may run.
     """
     if status.answer is not None:
         return stored(status.answer)
@@ -54,10 +56,10 @@
 
 
 def outcome_of(error: errors.LaburnumsillError) -> messages.Outcome:
-    """Returns what an error says became of the request."""
+    """Returns the request's outcome that an error implies."""
     if isinstance(error, messages.AnswerNotKeptError):
         return messages.Outcome.ANSWERED
-    truthful = (errors.InvalidInputError, errors.UnavailableError)
-    if isinstance(error, truthful):
+    not_run_errors = (errors.InvalidInputError, errors.UnavailableError)
+    if isinstance(error, not_run_errors):
         return messages.Outcome.NOT_RUN
     return messages.Outcome.UNKNOWN
--- a/laburnumsill/requests/claim.py
+++ b/laburnumsill/requests/claim.py
@@ -1,9 +1,9 @@
-"""The filter claim: gets the right to run a request that may run once only.
+"""The claim filter: acquires the right to run an at-most-once request.
 
-A proposal may be lost: then the same attempt is proposed again. A VM that
-gives up on its claim before it was granted sends nothing, and settles the
-attempt as not run in the background, so that a late commit of the lost
-proposal cannot hold up a resend.
+A lost proposal is retried with the same attempt id. If the claim is not
+granted in time, the VM sends nothing and settles the attempt as not run in
+the background, so that a late commit of the lost proposal does not block
+resends.
 """
 
 import trio
@@ -18,13 +18,13 @@
 from laburnumsill.requests import settle
 from laburnumsill.state import claim_records
 
-CLAIM_PATIENCE_S = 1.5
-"""Longest wait for a claim, which bridges the election of a leader."""
+CLAIM_TIMEOUT_S = 1.5
+"""Timeout for a claim, long enough for a leader election."""
 
 SETTLE_GRACE_S = 2.0
-"""Time after a request's deadline in which its end may still be recorded."""
+"""Time after a request's deadline within which its outcome may be recorded."""
 
-_PAUSE_S = 0.05
+_RETRY_INTERVAL_S = 0.05
 
 
 class ClaimFilter:
@@ -33,7 +33,7 @@
     Args:
         local_vm: This VM.
         groups: The replicated groups.
-        settler: Records attempts that were given up.
+        settler: Records abandoned attempts as not run.
         clock: The process's clock.
     """
 
@@ -55,17 +55,19 @@
         group: str,
         retention_s: float,
     ) -> claim_records.ClaimStatus:
-        """Returns what the home group says to a fresh attempt.
+        """Claims a request with a new attempt and returns the claim's status.
 
-        Where the attempt was granted, the caller must send it or settle it.
+        If the claim is granted, the caller must run and settle the attempt.
 
         Raises:
-            messages.HomeUnreachableError: The home group gave no answer or
-                takes no new claims; this VM sends nothing.
+            messages.HomeUnreachableError: The home group did not answer or
+                accepts no new claims; this VM sends nothing.
             errors.KeyReusedError: The key belongs to another request.
         """
         attempt = ids.fresh("att")
-        end = self._clock.wall_deadline(request.deadline) + SETTLE_GRACE_S
+        attempt_deadline = (
+            self._clock.wall_deadline(request.deadline) + SETTLE_GRACE_S
+        )
         command = claim_records.ClaimRequest(
             request.claim_key,
             request.digest,
@@ -73,65 +75,75 @@
             self._local_vm.vm_id,
             self._clock.wall_deadline(request.arrived),
             self._clock.wall(),
-            end,
-            end + retention_s,
+            attempt_deadline,
+            attempt_deadline + retention_s,
         )
-        until = min(
+        propose_deadline = min(
             request.deadline,
-            self._clock.monotonic() + CLAIM_PATIENCE_S,
+            self._clock.monotonic() + CLAIM_TIMEOUT_S,
             request.arrived + claim_records.CLAIM_WINDOW_S,
         )
         granted = False
-        lost = False
+        maybe_committed = False
         try:
             while True:
                 try:
-                    status = await self._propose(group, command, until)
+                    status = await self._propose(
+                        group, command, propose_deadline
+                    )
                     granted = status.granted
                     return status
                 except errors.UnavailableError as error:
                     raise _unreachable(error) from error
                 except errors.ProposalLostError as error:
-                    lost = True
-                    if self._clock.monotonic() + _PAUSE_S >= until:
+                    maybe_committed = True
+                    if (
+                        self._clock.monotonic() + _RETRY_INTERVAL_S
+                        >= propose_deadline
+                    ):
                         raise _unreachable(error) from error
-                await trio.sleep(_PAUSE_S)
+                await trio.sleep(_RETRY_INTERVAL_S)
         finally:
-            if lost and not granted:
-                self._settler.later(
+            if maybe_committed and not granted:
+                self._settler.record_later(
                     group, settle.not_run(command, self._clock.wall())
                 )
 
     async def refuse(
         self, request: messages.RoutedRequest, group: str
     ) -> claim_records.ClaimStatus:
-        """Returns what is known of a key whose request is not to be run.
+        """Fences off a key whose request will not be run; returns its status.
 
-        Where that is "not run", no send that has arrived by now will run.
+        If the status is "not run", no send that has arrived by now will run.
 
         Raises:
-            messages.HomeUnreachableError: The home group gave no answer.
+            messages.HomeUnreachableError: The home group did not answer.
             errors.KeyReusedError: The key belongs to another request.
         """
         command = claim_records.RefuseRequest(
             request.claim_key, request.digest, self._clock.wall()
         )
-        until = self._clock.monotonic() + claim_records.REFUSE_PATIENCE_S
+        propose_deadline = (
+            self._clock.monotonic() + claim_records.REFUSE_PATIENCE_S
+        )
         try:
             status: claim_records.ClaimStatus = await self._groups.propose(
-                group, command, until
+                group, command, propose_deadline
             )
         except (errors.UnavailableError, errors.ProposalLostError) as error:
             raise _unreachable(error) from error
-        if self._clock.monotonic() > until:
+        if self._clock.monotonic() > propose_deadline:
             raise messages.HomeUnreachableError("the home group was too slow")
         return status
 
     async def _propose(
-        self, group: str, command: claim_records.ClaimRequest, until: float
+        self,
+        group: str,
+        command: claim_records.ClaimRequest,
+        propose_deadline: float,
     ) -> claim_records.ClaimStatus:
         status: claim_records.ClaimStatus = await self._groups.propose(
-            group, command, until
+            group, command, propose_deadline
         )
         logs.decision(
             "claim",
--- a/laburnumsill/requests/durable.py
+++ b/laburnumsill/requests/durable.py
@@ -1,9 +1,9 @@
-"""Dispatches durable requests until their success is recorded.
+"""Dispatches durable requests until their ends are recorded.
 
-The VM that leads the home group dispatches what is pending there. After a
-change of leader the new one starts over with all that is pending, so a
-repeatable request may run again; one that is not repeatable goes through
-its claim and runs once at most.
+The leader of a home group dispatches the group's pending requests. After a
+leader change the new leader dispatches all pending requests again, so a
+repeatable request may run more than once. One that is not repeatable needs
+a claim and runs at most once.
 """
 
 import dataclasses
@@ -22,25 +22,31 @@
 from laburnumsill.requests import router as routers
 from laburnumsill.state import durable
 
-SCAN_S = 0.1
-"""Period of looking for pending requests while there are any."""
+SCAN_INTERVAL_S = 0.1
+"""Interval of the scans for pending requests while there are any."""
 
-IDLE_SCAN_S = 0.5
-"""Period of looking for pending requests while none was found."""
+IDLE_SCAN_INTERVAL_S = 0.5
+"""Interval of the scans while there are no pending requests."""
 
-MAX_RUNNING = 64
-"""Durable requests that one VM dispatches at a time, for each domain."""
+MAX_CONCURRENT = 64
+"""Limit of concurrent dispatches on one VM, for each home group."""
 
-FIRST_BACKOFF_S = 0.2
-LONGEST_BACKOFF_S = 30.0
+INITIAL_BACKOFF_S = 0.2
+MAX_BACKOFF_S = 30.0
 
-_RECORD_PATIENCE_S = 2.0
+_RECORD_TIMEOUT_S = 2.0
 _MAX_DOUBLINGS = 16
 
 
 @dataclasses.dataclass(slots=True)
-class _Tries:
-    """Dispatches of one request by this VM; `next_at` is monotonic."""
+class _DispatchState:
+    """The dispatches of one request by this VM.
+
+    Attributes:
+        count: Number of dispatches.
+        next_at: Monotonic time of the next dispatch.
+        running: Whether a dispatch is in progress.
+    """
 
     count: int = 0
     next_at: float = 0.0
@@ -48,14 +54,14 @@
 
 
 class DurableDispatcher:
-    """Dispatches the durable requests of the domains that this VM leads.
+    """Dispatches the durable requests of the groups that this VM leads.
 
     Args:
-        router: Runs each dispatch.
+        router: The request router.
         groups: The replicated groups.
         current: The configuration in force.
         clock: The process's clock.
-        metrics: Where ends are counted.
+        metrics: The daemon's metrics.
     """
 
     def __init__(
@@ -71,7 +77,7 @@
         self._current = current
         self._clock = clock
         self._metrics = metrics
-        self._tries: dict[str, dict[str, _Tries]] = {}
+        self._dispatches: dict[str, dict[str, _DispatchState]] = {}
 
     async def run(
         self,
@@ -86,25 +92,29 @@
                 if configuration is not None:
                     for domain in configuration.domains:
                         self._scan(ids.domain_group(domain), nursery)
-                busy = any(self._tries.values())
-                await trio.sleep(SCAN_S if busy else IDLE_SCAN_S)
+                busy = any(self._dispatches.values())
+                await trio.sleep(
+                    SCAN_INTERVAL_S if busy else IDLE_SCAN_INTERVAL_S
+                )
 
     def _scan(self, group: str, nursery: trio.Nursery) -> None:
         machine = self._groups.local(group)
         if machine is None or not self._groups.leads(group):
-            self._tries.pop(group, None)
+            self._dispatches.pop(group, None)
             return
-        component: durable.DurableRequests = machine.component("durable")
-        tries = self._tries.setdefault(group, {})
-        for key in [key for key in tries if key not in component.pending]:
-            if not tries[key].running:
-                del tries[key]
-        running = sum(entry.running for entry in tries.values())
+        durable_requests: durable.DurableRequests = machine.component("durable")
+        dispatches = self._dispatches.setdefault(group, {})
+        for key in [
+            key for key in dispatches if key not in durable_requests.pending
+        ]:
+            if not dispatches[key].running:
+                del dispatches[key]
+        running = sum(entry.running for entry in dispatches.values())
         now = self._clock.monotonic()
-        for key, record in component.pending.items():
-            if running >= MAX_RUNNING:
+        for key, record in durable_requests.pending.items():
+            if running >= MAX_CONCURRENT:
                 return
-            entry = tries.setdefault(key, _Tries())
+            entry = dispatches.setdefault(key, _DispatchState())
             if entry.running or now < entry.next_at:
                 continue
             entry.running = True
@@ -112,13 +122,13 @@
             nursery.start_soon(self._dispatch, group, record, entry)
 
     async def _dispatch(
-        self, group: str, record: durable.DurableRecord, entry: _Tries
+        self, group: str, record: durable.DurableRecord, entry: _DispatchState
     ) -> None:
         entry.count += 1
         try:
-            end = await self._end_of(record)
+            end = await self._dispatch_once(record)
             if end is not None:
-                await self._record(group, end)
+                await self._record_end(group, end)
         except errors.LaburnumsillError as error:
             logs.event(
                 "durable-dispatch-failed",
@@ -126,37 +136,39 @@
                 tries=entry.count,
                 error=error.slug,
             )
-        except Exception as error:  # the border: it is tried again
+        except Exception as error:  # retried after the backoff
             logs.event("dispatch-broken", level="ERROR", error=repr(error))
         finally:
             doublings = min(entry.count - 1, _MAX_DOUBLINGS)
-            backoff_s = min(LONGEST_BACKOFF_S, FIRST_BACKOFF_S * 2**doublings)
+            backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**doublings)
             entry.next_at = self._clock.monotonic() + backoff_s
             entry.running = False
 
-    async def _end_of(
+    async def _dispatch_once(
         self, record: durable.DurableRecord
     ) -> durable.EndDurable | None:
-        """Returns how a request ended, or None if it is to be tried again."""
+        """Runs a request once; returns its end, or None if it must retry."""
         work = record.work
         if work is None:
             return None
         if self._clock.wall() >= record.deadline:
-            return self._end(record, durable.DurableState.EXPIRED, 0)
-        request = self._request(work)
+            return self._end_command(record, durable.DurableState.EXPIRED, 0)
+        request = self._build_request(work)
         try:
-            status = await self._status_of(request)
+            status = await self._run_request(request)
         except errors.OutcomeUnknownError:
             if request.request_class.repeatable:
                 return None
-            return self._end(record, durable.DurableState.UNKNOWN, 0)
+            return self._end_command(record, durable.DurableState.UNKNOWN, 0)
         if 200 <= status < 300:
-            return self._end(record, durable.DurableState.SUCCEEDED, status)
+            return self._end_command(
+                record, durable.DurableState.SUCCEEDED, status
+            )
         if request.request_class.repeatable:
             return None
-        return self._end(record, durable.DurableState.FAILED, status)
+        return self._end_command(record, durable.DurableState.FAILED, status)
 
-    async def _status_of(self, request: messages.RoutedRequest) -> int:
+    async def _run_request(self, request: messages.RoutedRequest) -> int:
         answer = await self._router.run_durable(request)
         try:
             async for _ in answer.chunks():
@@ -165,7 +177,9 @@
             await answer.aclose()
         return answer.status
 
-    def _request(self, work: durable.DurableWork) -> messages.RoutedRequest:
+    def _build_request(
+        self, work: durable.DurableWork
+    ) -> messages.RoutedRequest:
         configuration = self._current.get()
         if configuration is None:
             raise errors.UnavailableError("no configuration is in force yet")
@@ -191,7 +205,7 @@
             now + request_class.timeout_ms / 1000,
         )
 
-    def _end(
+    def _end_command(
         self,
         record: durable.DurableRecord,
         state: durable.DurableState,
@@ -206,15 +220,15 @@
             record.key, state, status, now, now + policy.claim_retention_s
         )
 
-    async def _record(self, group: str, end: durable.EndDurable) -> None:
-        """Records an end; while that is lost and this VM leads, again."""
+    async def _record_end(self, group: str, end: durable.EndDurable) -> None:
+        """Records an end, with retries while this VM leads the group."""
         self._metrics.count("durable_ended_total", state=str(end.state))
         while self._groups.leads(group):
-            until = self._clock.monotonic() + _RECORD_PATIENCE_S
+            propose_deadline = self._clock.monotonic() + _RECORD_TIMEOUT_S
             try:
-                await self._groups.propose(group, end, until)
+                await self._groups.propose(group, end, propose_deadline)
             except (errors.UnavailableError, errors.ProposalLostError):
-                await trio.sleep(FIRST_BACKOFF_S)
+                await trio.sleep(INITIAL_BACKOFF_S)
             else:
                 logs.event("durable-ended", key=end.key, state=end.state)
                 return
--- a/laburnumsill/requests/lookup.py
+++ b/laburnumsill/requests/lookup.py
@@ -48,15 +48,15 @@
         errors.UnavailableError: The home group cannot be reached.
     """
     group = home.home_group(key, configuration)
-    until = clock.monotonic() + QUERY_S
+    propose_deadline = clock.monotonic() + QUERY_S
     kept: durable.DurableStatus = await groups.query(
-        group, durable.GetDurable(key), until
+        group, durable.GetDurable(key), propose_deadline
     )
     if kept.state is not None:
         status = kept.status or None
         return Known(key, True, kept.state, None, status, kept.deadline)
     claim: claim_records.ClaimStatus = await groups.query(
-        group, claim_records.GetClaim(key, clock.wall()), until
+        group, claim_records.GetClaim(key, clock.wall()), propose_deadline
     )
     if claim.state is None:
         raise errors.NotFoundError(f"nothing is known of key {key!r}")
--- a/laburnumsill/requests/once.py
+++ b/laburnumsill/requests/once.py
@@ -1,9 +1,9 @@
-"""Runs a request that may run once only: claim, dispatch, settle.
+"""Runs at-most-once requests: admit, claim, dispatch, settle.
 
-It runs in a task of its own, so that a caller who hangs up does not end it
-half way, and so that its end is always recorded. An answer up to the limit
-is kept whole with the claim before the caller gets it. A larger one is
-passed on as it arrives, and only its outcome is recorded.
+Each request runs in a task of its own, so that it is not cancelled and its
+outcome is still recorded if the caller disconnects. An answer up to the size
+limit is stored with the claim before the caller gets it. A larger answer is
+streamed, and only its outcome is recorded.
 """
 
 import dataclasses
@@ -30,14 +30,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Claimed:
-    """A granted attempt.
+class _GrantedClaim:
+    """A claim that was granted to this VM.
 
     Attributes:
-        request: What it runs.
-        attempt: Its id.
-        group: The group that granted it.
-        policy: The policy in force when it began.
+        request: The claimed request.
+        attempt: The id of the attempt that may run it.
+        group: The home group, which granted the claim.
+        policy: The policy in force when the request started.
     """
 
     request: messages.RoutedRequest
@@ -47,13 +47,13 @@
 
 
 class AtMostOnceRunner:
-    """Runs requests that are not repeatable.
+    """Runs requests that are not repeatable, each at most once.
 
     Args:
-        admission: Gives slots.
-        claim_filter: Gives claims.
-        dispatcher: Sends requests.
-        settler: Records ends.
+        admission: The admission filter.
+        claim_filter: The claim filter.
+        dispatcher: The dispatch filter.
+        settler: The settle filter.
         clock: The process's clock.
     """
 
@@ -75,11 +75,11 @@
 
     @property
     def running(self) -> int:
-        """Requests in progress, also those whose caller has hung up."""
+        """Number of requests in progress, also of disconnected callers."""
         return self._running
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Runs requests in `nursery` from now on."""
+        """Sets the nursery in which requests run."""
         self._nursery = nursery
 
     async def run(
@@ -87,19 +87,21 @@
         request: messages.RoutedRequest,
         configuration: models.Configuration,
     ) -> messages.Answer:
-        """Returns the answer; it is recorded unless it is streamed.
+        """Runs a request and returns the answer, stored unless streamed.
 
         Raises:
             errors.LaburnumsillError: See `answer.outcome_of`.
         """
         if self._nursery is None:
             raise errors.UnavailableError("the router is not running")
-        send: trio.MemorySendChannel[Result]
-        send, receive = trio.open_memory_channel(1)
+        result_sender: trio.MemorySendChannel[Result]
+        result_sender, result_receiver = trio.open_memory_channel(1)
         self._running += 1
-        self._nursery.start_soon(self._task, request, configuration, send)
-        async with receive:
-            result = await receive.receive()
+        self._nursery.start_soon(
+            self._run_task, request, configuration, result_sender
+        )
+        async with result_receiver:
+            result = await result_receiver.receive()
         if isinstance(result, errors.LaburnumsillError):
             raise result
         return result
@@ -110,35 +112,36 @@
         configuration: models.Configuration,
         error: errors.LaburnumsillError,
     ) -> messages.Answer:
-        """Raises `error`, or returns the answer of an earlier send.
+        """Raises `error`, or returns the stored answer to the same key.
 
-        "Not run" is only said once the home group has made it true for all
-        sends of the key that have arrived.
+        `error` says that the request was not run. It is raised only after
+        the home group has fenced off the key, so that no send of it that has
+        arrived by now can run.
         """
         group = home.home_group(request.claim_key, configuration)
         status = await self._claim_filter.refuse(request, group)
         if status.state is claim_records.ClaimState.NOT_RUN:
             raise error
-        return answers.of_claim(status)
+        return answers.from_claim_status(status)
 
-    async def _task(
+    async def _run_task(
         self,
         request: messages.RoutedRequest,
         configuration: models.Configuration,
-        send: "trio.MemorySendChannel[Result]",
+        result_sender: "trio.MemorySendChannel[Result]",
     ) -> None:
         result: Result
         try:
             result = await self._run(request, configuration)
         except errors.LaburnumsillError as error:
             result = error
-        except Exception as error:  # the border: no failure ends the router
+        except Exception as error:  # one request must not stop the router
             logs.event("run-failed", level="ERROR", error=repr(error))
             result = errors.LaburnumsillError("unexpected failure")
         finally:
             self._running -= 1
         try:
-            send.send_nowait(result)
+            result_sender.send_nowait(result)
         except trio.BrokenResourceError:
             if isinstance(result, messages.Answer):
                 await result.aclose()
@@ -154,42 +157,42 @@
             permit = await self._admission.acquire(request)
         except errors.LaburnumsillError as error:
             return await self.refuse(request, configuration, error)
-        kept = False
+        permit_transferred = False
         try:
             status = await self._claim_filter.claim(
                 request, group, policy.claim_retention_s
             )
             if not status.granted:
-                return answers.of_claim(status)
-            claimed = _Claimed(request, status.attempt, group, policy)
-            exchange = await self._dispatch(claimed)
-            result = await self._collect(claimed, exchange, permit)
-            kept = result.whole_body is None
+                return answers.from_claim_status(status)
+            grant = _GrantedClaim(request, status.attempt, group, policy)
+            exchange = await self._dispatch(grant)
+            result = await self._read_answer(grant, exchange, permit)
+            permit_transferred = result.whole_body is None
             return result
         finally:
-            if not kept:
+            if not permit_transferred:
                 permit.release()
 
-    async def _dispatch(self, claimed: _Claimed) -> dispatch.Exchange:
+    async def _dispatch(self, grant: _GrantedClaim) -> dispatch.Exchange:
         try:
-            return await self._dispatcher.run(claimed.request, claimed.attempt)
+            return await self._dispatcher.run(grant.request, grant.attempt)
         except errors.UnavailableError:
-            await self._settle(claimed, claim_records.ClaimState.NOT_RUN)
+            await self._settle(grant, claim_records.ClaimState.NOT_RUN)
             raise
         except errors.OutcomeUnknownError:
-            await self._settle(claimed, claim_records.ClaimState.UNKNOWN)
+            await self._settle(grant, claim_records.ClaimState.UNKNOWN)
             raise
         except BaseException:
-            self._settle_later(claimed, claim_records.ClaimState.UNKNOWN)
+            self._settle_later(grant, claim_records.ClaimState.UNKNOWN)
             raise
 
-    async def _collect(
+    async def _read_answer(
         self,
-        claimed: _Claimed,
+        grant: _GrantedClaim,
         exchange: dispatch.Exchange,
         permit: admit.Permit,
     ) -> messages.Answer:
-        """Reads up to the limit of what is kept, then settles or streams."""
+        """Reads the answer and settles it, or streams it over the limit."""
         chunks = exchange.chunks()
         parts: list[bytes] = []
         size = 0
@@ -197,17 +200,15 @@
             async for chunk in chunks:
                 parts.append(chunk)
                 size += len(chunk)
-                if size > claimed.policy.max_stored_answer_bytes:
-                    return self._stream(
-                        claimed, exchange, permit, parts, chunks
-                    )
+                if size > grant.policy.max_stored_answer_bytes:
+                    return self._stream(grant, exchange, permit, parts, chunks)
         except errors.OutcomeUnknownError:
             await exchange.aclose()
-            await self._settle(claimed, claim_records.ClaimState.UNKNOWN)
+            await self._settle(grant, claim_records.ClaimState.UNKNOWN)
             raise
         except BaseException:
             await exchange.aclose()
-            self._settle_later(claimed, claim_records.ClaimState.UNKNOWN)
+            self._settle_later(grant, claim_records.ClaimState.UNKNOWN)
             raise
         await exchange.aclose()
         answer = stored_answers.StoredAnswer(
@@ -215,12 +216,12 @@
             headers.end_to_end(exchange.headers),
             b"".join(parts),
         )
-        await self._settle(claimed, claim_records.ClaimState.ANSWERED, answer)
+        await self._settle(grant, claim_records.ClaimState.ANSWERED, answer)
         return answers.stored(answer)
 
     def _stream(
         self,
-        claimed: _Claimed,
+        grant: _GrantedClaim,
         exchange: dispatch.Exchange,
         permit: admit.Permit,
         parts: list[bytes],
@@ -241,7 +242,7 @@
                 await exchange.aclose()
             finally:
                 permit.release()
-                self._settle_later(claimed, outcome)
+                self._settle_later(grant, outcome)
 
         return messages.Answer(
             messages.Outcome.ANSWERED,
@@ -253,31 +254,31 @@
 
     async def _settle(
         self,
-        claimed: _Claimed,
+        grant: _GrantedClaim,
         outcome: claim_records.ClaimState,
         answer: stored_answers.StoredAnswer | None = None,
     ) -> None:
-        command = self._command(claimed, outcome, answer)
-        deadline = claimed.request.deadline
-        await self._settler.now(claimed.group, command, deadline)
+        command = self._command(grant, outcome, answer)
+        deadline = grant.request.deadline
+        await self._settler.record_now(grant.group, command, deadline)
 
     def _settle_later(
-        self, claimed: _Claimed, outcome: claim_records.ClaimState
+        self, grant: _GrantedClaim, outcome: claim_records.ClaimState
     ) -> None:
-        command = self._command(claimed, outcome, None)
-        self._settler.later(claimed.group, command)
+        command = self._command(grant, outcome, None)
+        self._settler.record_later(grant.group, command)
 
     def _command(
         self,
-        claimed: _Claimed,
+        grant: _GrantedClaim,
         outcome: claim_records.ClaimState,
         answer: stored_answers.StoredAnswer | None,
     ) -> claim_records.SettleRequest:
         return settle.settlement(
-            claimed.request,
-            claimed.attempt,
+            grant.request,
+            grant.attempt,
             outcome,
             answer,
             self._clock.wall(),
-            claimed.policy.claim_retention_s,
+            grant.policy.claim_retention_s,
         )
--- a/laburnumsill/requests/queues.py
+++ b/laburnumsill/requests/queues.py
@@ -2,9 +2,9 @@
 
 Accounts are served by start-time fair queueing: each dequeued request gives
 its account a finish tag `start + 1 / weight`, and the account with the
-smallest start tag is next. A full queue refuses at the expense of the
-account that has most in it for its weight, so that a flood pushes out
-nothing but itself.
+smallest start tag is next. A full queue sheds a request of the account with
+the most queued requests for its weight, so that a flood of one account
+displaces only its own requests.
 
 References:
     P. Goyal, H. Vin, H. Cheng, "Start-time Fair Queueing", IEEE/ACM
@@ -22,13 +22,13 @@
 
 @dataclasses.dataclass(eq=False, slots=True)
 class Waiter:
-    """One request that waits.
+    """A queued request.
 
     Attributes:
-        account: Its account.
+        account: The client account.
         weight: The account's weight.
-        deadline: Monotonic point by which it must have ended.
-        number: Tells apart equal deadlines, first come first.
+        deadline: The request's deadline, in monotonic time.
+        number: Arrival number, which orders equal deadlines.
     """
 
     account: str
@@ -37,18 +37,20 @@
     number: int = dataclasses.field(default_factory=_order.__next__)
 
 
-def _urgency(waiter: Waiter) -> tuple[float, int]:
+def _deadline_order(waiter: Waiter) -> tuple[float, int]:
     return waiter.deadline, waiter.number
 
 
 class _AccountQueue:
     def __init__(self) -> None:
-        self.waiters: typing.Any = sortedcontainers.SortedKeyList(key=_urgency)
-        self.finish = 0.0
+        self.waiters: typing.Any = sortedcontainers.SortedKeyList(
+            key=_deadline_order
+        )
+        self.finish_tag = 0.0
         self.weight = 1.0
 
 
-def _crowding(account: _AccountQueue) -> float:
+def _weighted_length(account: _AccountQueue) -> float:
     return len(account.waiters) / account.weight
 
 
@@ -77,36 +79,38 @@
         if account is None:
             account = self._accounts[waiter.account] = _AccountQueue()
         if not account.waiters:
-            account.finish = max(account.finish, self._virtual_time)
+            account.finish_tag = max(account.finish_tag, self._virtual_time)
         account.weight = waiter.weight
         account.waiters.add(waiter)
         self._size += 1
 
     def pop(self) -> Waiter:
-        """Takes out the next waiter; the queue must not be empty."""
-        waiting = (acc for acc in self._accounts.values() if acc.waiters)
-        account = min(waiting, key=lambda acc: acc.finish)
-        self._virtual_time = account.finish
-        account.finish += 1.0 / account.weight
+        """Removes and returns the next waiter; the queue must not be empty."""
+        backlogged = (acc for acc in self._accounts.values() if acc.waiters)
+        account = min(backlogged, key=lambda acc: acc.finish_tag)
+        self._virtual_time = account.finish_tag
+        account.finish_tag += 1.0 / account.weight
         self._size -= 1
         waiter: Waiter = account.waiters.pop(0)
         return waiter
 
     def remove(self, waiter: Waiter) -> None:
-        """Takes out a waiter that gave up; it may be out already."""
+        """Removes a waiter if it is still queued."""
         account = self._accounts.get(waiter.account)
         if account is not None and waiter in account.waiters:
             account.waiters.remove(waiter)
             self._size -= 1
 
-    def crowding_out(self, account: str) -> Waiter | None:
-        """Returns the waiter that must make room for the last of `account`.
+    def shedding_victim(self, account: str) -> Waiter | None:
+        """Returns the waiter to shed in place of the newest of `account`.
 
-        It is the least urgent one of the account with most waiters for its
-        weight; None if no account has more than `account` itself.
+        It is the one with the latest deadline of the account with the most
+        waiters for its weight; None if no account exceeds `account` itself.
         """
-        crowd = max(self._accounts.values(), key=_crowding)
-        if _crowding(crowd) <= _crowding(self._accounts[account]):
+        longest = max(self._accounts.values(), key=_weighted_length)
+        if _weighted_length(longest) <= _weighted_length(
+            self._accounts[account]
+        ):
             return None
-        waiter: Waiter = crowd.waiters[-1]
+        waiter: Waiter = longest.waiters[-1]
         return waiter
--- a/laburnumsill/requests/settle.py
+++ b/laburnumsill/requests/settle.py
@@ -1,4 +1,4 @@
-"""The filter settle: records how a claimed attempt ended."""
+"""The settle filter: records the outcomes of claimed attempts."""
 
 import trio
 
@@ -11,30 +11,29 @@
 from laburnumsill.state import answers
 from laburnumsill.state import claim_records
 
-PROMPT_S = claim_records.REFUSE_PATIENCE_S
-"""Longest wait for a record that there is no answer."""
+OUTCOME_TIMEOUT_S = claim_records.REFUSE_PATIENCE_S
+"""Timeout for recording an outcome without an answer."""
 
-ANSWER_PATIENCE_S = 5.0
-"""Longest wait for the record of an answer, which bridges the election of a
-leader. A caller that got an answer can count on every resend getting the
-same one, unless the home group is away for longer than this and this VM dies
-before it is back."""
+ANSWER_TIMEOUT_S = 5.0
+"""Timeout for recording an answer, long enough for a leader election. Resends
+of an answered request get the same answer, unless the home group is
+unavailable for longer than this and this VM fails before it recovers."""
 
-LATEST_S = 600.0
-"""Time after which a record that cannot be made is given up; the claim then
-reads as unknown."""
+RETRY_LIMIT_S = 600.0
+"""Time after which recording an outcome is abandoned; the outcome of the
+claim is then unknown."""
 
 MAX_PENDING = 1_000
-"""Records that wait in the background at most."""
+"""Limit of outcomes being recorded in the background."""
 
-_FIRST_PAUSE_S = 0.1
-_LONGEST_PAUSE_S = 5.0
+_INITIAL_BACKOFF_S = 0.1
+_MAX_BACKOFF_S = 5.0
 
 
 def not_run(
     command: claim_records.ClaimRequest, now: float
 ) -> claim_records.SettleRequest:
-    """Returns the record that an attempt was not and will not be run."""
+    """Returns the command that records an attempt as not run."""
     return claim_records.SettleRequest(
         command.key,
         command.digest,
@@ -54,7 +53,7 @@
     now: float,
     retention_s: float,
 ) -> claim_records.SettleRequest:
-    """Returns the record of how an attempt ended."""
+    """Returns the command that records the outcome of an attempt."""
     return claim_records.SettleRequest(
         request.claim_key,
         request.digest,
@@ -67,12 +66,12 @@
 
 
 class Settler:
-    """Records the ends of attempts, at once or in the background.
+    """Records outcomes of attempts, waiting for it or in the background.
 
     Args:
         groups: The replicated groups.
         clock: The process's clock.
-        metrics: Where lost records are counted.
+        metrics: The daemon's metrics.
     """
 
     def __init__(
@@ -89,58 +88,63 @@
 
     @property
     def pending(self) -> int:
-        """Records that are not made yet."""
+        """Number of outcomes being recorded in the background."""
         return self._pending
 
     def start(self, nursery: trio.Nursery) -> None:
-        """Makes background records in `nursery` from now on."""
+        """Sets the nursery for recording in the background."""
         self._nursery = nursery
 
-    async def now(
+    async def record_now(
         self, group: str, command: claim_records.SettleRequest, deadline: float
     ) -> None:
-        """Records, or goes on in the background after a while.
+        """Records an outcome; after a timeout, continues in the background.
 
         Args:
             group: The home group.
-            command: The record.
-            deadline: Monotonic point by which the request must have ended.
+            command: The outcome.
+            deadline: The request's deadline, in monotonic time.
         """
         answered = command.outcome is claim_records.ClaimState.ANSWERED
-        patience_s = ANSWER_PATIENCE_S if answered else PROMPT_S
-        until = min(deadline, self._clock.monotonic() + patience_s)
-        if not await self._try(group, command, until):
-            self.later(group, command)
+        timeout_s = ANSWER_TIMEOUT_S if answered else OUTCOME_TIMEOUT_S
+        propose_deadline = min(deadline, self._clock.monotonic() + timeout_s)
+        if not await self._try_propose(group, command, propose_deadline):
+            self.record_later(group, command)
 
-    def later(self, group: str, command: claim_records.SettleRequest) -> None:
-        """Records in the background."""
+    def record_later(
+        self, group: str, command: claim_records.SettleRequest
+    ) -> None:
+        """Records an outcome in the background."""
         if self._nursery is None or self._pending >= MAX_PENDING:
-            self._lost(command)
+            self._record_lost(command)
             return
         self._pending += 1
-        self._nursery.start_soon(self._keep_trying, group, command)
+        self._nursery.start_soon(self._retry_propose, group, command)
 
-    async def _keep_trying(
+    async def _retry_propose(
         self, group: str, command: claim_records.SettleRequest
     ) -> None:
-        give_up = self._clock.monotonic() + LATEST_S
-        pause_s = _FIRST_PAUSE_S
+        give_up_at = self._clock.monotonic() + RETRY_LIMIT_S
+        backoff_s = _INITIAL_BACKOFF_S
         try:
-            while self._clock.monotonic() < give_up:
-                until = self._clock.monotonic() + PROMPT_S
-                if await self._try(group, command, until):
+            while self._clock.monotonic() < give_up_at:
+                propose_deadline = self._clock.monotonic() + OUTCOME_TIMEOUT_S
+                if await self._try_propose(group, command, propose_deadline):
                     return
-                await trio.sleep(pause_s)
-                pause_s = min(_LONGEST_PAUSE_S, pause_s * 2)
-            self._lost(command)
+                await trio.sleep(backoff_s)
+                backoff_s = min(_MAX_BACKOFF_S, backoff_s * 2)
+            self._record_lost(command)
         finally:
             self._pending -= 1
 
-    async def _try(
-        self, group: str, command: claim_records.SettleRequest, until: float
+    async def _try_propose(
+        self,
+        group: str,
+        command: claim_records.SettleRequest,
+        propose_deadline: float,
     ) -> bool:
         try:
-            await self._groups.propose(group, command, until)
+            await self._groups.propose(group, command, propose_deadline)
         except (errors.UnavailableError, errors.OutcomeUnknownError):
             return False
         except errors.LaburnumsillError as error:
@@ -152,6 +156,6 @@
             )
         return True
 
-    def _lost(self, command: claim_records.SettleRequest) -> None:
+    def _record_lost(self, command: claim_records.SettleRequest) -> None:
         self._metrics.count("settles_lost_total")
         logs.event("settle-lost", level="WARNING", attempt=command.attempt)
