--- a/laburnumsill/requests/adaptive.py
+++ b/laburnumsill/requests/adaptive.py
@@ -1,11 +1,12 @@
-"""A feedback control of the requests in flight at each server.
+"""Adaptive concurrency limits: feedback control on each server's latency.
 
-Once a period the median of the latencies seen in it is compared with a
-window. Below it the limit rises (doubling until the first back-off), above
-it the limit falls; both only after some periods agree, because a fall is
-larger than a rise. A tail guard lowers it when too many latencies are above
-the target. Latency is measured from the moment of the send: with the wait
-in our own queue in it, each back-off would cause the next one.
+Once a period, the median latency of the period is compared with a latency
+window. If it is below the window, the limit increases, doubling until the
+first decrease (slow start); if it is above, the limit decreases. Both need
+several consecutive periods, because a decrease is larger than an increase.
+The limit also decreases if too many latencies are above the target (tail
+guard). Latency is measured from the send: if it included the time in this
+VM's queue, each decrease would cause the next one.
 
 References:
     Package agilelimiter, "An adaptive, latency-driven rate limiter that
@@ -21,6 +22,8 @@
 from laburnumsill.requests import servers
 
 PERIOD_S = 1.0
+"""Length of a control period."""
+
 WINDOW_SHARE = 0.8
 """The window as a share of the target latency."""
 
@@ -28,21 +31,34 @@
 """The window as a multiple of the baseline latency."""
 
 DEADBAND = 0.1
-"""Part of the window below it in which the limit is held."""
+"""Share of the window, below its upper end, in which the limit is unchanged."""
+
+CONSECUTIVE_PERIODS = 2
+"""Consecutive periods above or below the window that change the limit."""
+
+INCREASE_FACTOR = 1.1
+DECREASE_FACTOR = 0.7
+SLOW_START_FACTOR = 2.0
+MIN_LIMIT = 1.0
 
-AGREEING_PERIODS = 2
-RISE = 1.1
-FALL = 0.7
-SLOW_START = 2.0
-LEAST_LIMIT = 1.0
 TAIL_SHARE = 0.05
-TAIL_SIGMAS = 2.0
-BASELINE_UP = 0.01
-BASELINE_DOWN = 0.3
+"""Share of a period's latencies that may be above the target."""
+
+TAIL_DEVIATIONS = 2.0
+"""Standard deviations above `TAIL_SHARE` at which the tail guard acts."""
+
+BASELINE_INCREASE_GAIN = 0.01
+"""Weight of a median above the baseline in the baseline's moving mean."""
+
+BASELINE_DECREASE_GAIN = 0.3
+"""Weight of a median below the baseline in the baseline's moving mean."""
 
 
 class Anchor(enum.Enum):
-    """What the window is measured against."""
+    """The reference of the latency window.
+
+    `TARGET`: the target latency. `BASELINE`: the server's own latency.
+    """
 
     TARGET = "target"
     BASELINE = "baseline"
@@ -51,21 +67,21 @@
 @dataclasses.dataclass(slots=True)
 class _Control:
     limit: float
-    most: float
+    max_limit: float
     slow_start: bool = True
-    above: int = 0
-    below: int = 0
+    periods_above: int = 0
+    periods_below: int = 0
     baseline_s: float = 0.0
-    most_in_flight: int = 0
+    peak_in_flight: int = 0
     latencies: list[float] = dataclasses.field(default_factory=list)
 
 
 class Controls:
-    """One control loop for each server.
+    """The control loops of all servers.
 
     Args:
-        anchor: What the window is measured against.
-        target_s: Latency to stay below, in seconds.
+        anchor: The reference of the latency window.
+        target_s: The target latency, in seconds.
     """
 
     def __init__(self, anchor: Anchor, target_s: float) -> None:
@@ -76,75 +92,87 @@
             servers.ServerState, _Control
         ] = weakref.WeakKeyDictionary()
 
-    def limit(self, state: servers.ServerState, first: float) -> float:
-        """Returns the limit of one server, `first` at the start."""
+    def limit(self, state: servers.ServerState, initial: float) -> float:
+        """Returns the limit of a server; a new server starts at `initial`."""
         control = self._controls.get(state)
         if control is None:
-            most = max(first, float(state.server.slots))
-            control = self._controls[state] = _Control(first, most)
-        control.most_in_flight = max(control.most_in_flight, state.in_flight)
+            max_limit = max(initial, float(state.server.slots))
+            control = self._controls[state] = _Control(initial, max_limit)
+        control.peak_in_flight = max(control.peak_in_flight, state.in_flight)
         return control.limit
 
     def observe(self, state: servers.ServerState, latency_s: float) -> None:
-        """Takes in one latency, measured from the moment of the send."""
+        """Records a latency, measured from the send."""
         control = self._controls.get(state)
         if control is not None:
             control.latencies.append(latency_s)
 
     def tick(self, now: float) -> None:
-        """Adapts all limits if a period has ended."""
+        """Adapts all limits at the end of a period."""
         if now < self._next_period_at:
             return
         self._next_period_at = now + PERIOD_S
         for control in self._controls.values():
-            self._step(control)
+            self._adapt(control)
             control.latencies.clear()
-            control.most_in_flight = 0
+            control.peak_in_flight = 0
 
-    def _step(self, control: _Control) -> None:
+    def _adapt(self, control: _Control) -> None:
         if not control.latencies:
             return
         median_s = statistics.median(control.latencies)
         window_s = self._window_s(control, median_s)
-        if median_s > window_s or self._tail_is_late(control):
-            control.above += 1
-            control.below = 0
+        if median_s > window_s or self._tail_exceeds_target(control):
+            control.periods_above += 1
+            control.periods_below = 0
         elif median_s < window_s * (1 - DEADBAND):
-            control.below += 1
-            control.above = 0
+            control.periods_below += 1
+            control.periods_above = 0
         else:
-            control.above = control.below = 0
-        if control.above >= AGREEING_PERIODS:
-            _fall(control)
-        elif control.below >= AGREEING_PERIODS:
-            _rise(control)
+            control.periods_above = control.periods_below = 0
+        if control.periods_above >= CONSECUTIVE_PERIODS:
+            _decrease(control)
+        elif control.periods_below >= CONSECUTIVE_PERIODS:
+            _increase(control)
 
     def _window_s(self, control: _Control, median_s: float) -> float:
         if control.baseline_s == 0.0:
             control.baseline_s = median_s
-        gain = BASELINE_DOWN if median_s < control.baseline_s else BASELINE_UP
+        gain = (
+            BASELINE_DECREASE_GAIN
+            if median_s < control.baseline_s
+            else BASELINE_INCREASE_GAIN
+        )
         control.baseline_s += gain * (median_s - control.baseline_s)
         if self._anchor is Anchor.TARGET:
             return WINDOW_SHARE * self._target_s
         return WINDOW_INFLATION * control.baseline_s
 
-    def _tail_is_late(self, control: _Control) -> bool:
+    def _tail_exceeds_target(self, control: _Control) -> bool:
         count = len(control.latencies)
-        late = sum(seconds > self._target_s for seconds in control.latencies)
-        deviation = math.sqrt(TAIL_SHARE * (1 - TAIL_SHARE) / count)
-        return late / count > TAIL_SHARE + TAIL_SIGMAS * deviation
-
-
-def _fall(control: _Control) -> None:
-    control.limit = max(LEAST_LIMIT, control.limit * FALL)
+        late_count = sum(
+            seconds > self._target_s for seconds in control.latencies
+        )
+        standard_deviation = math.sqrt(TAIL_SHARE * (1 - TAIL_SHARE) / count)
+        return (
+            late_count / count
+            > TAIL_SHARE + TAIL_DEVIATIONS * standard_deviation
+        )
+
+
+def _decrease(control: _Control) -> None:
+    control.limit = max(MIN_LIMIT, control.limit * DECREASE_FACTOR)
     control.slow_start = False
-    control.above = 0
+    control.periods_above = 0
+
 
+def _increase(control: _Control) -> None:
+    """Increases the limit if at least half of it was used.
 
-def _rise(control: _Control) -> None:
-    """Raises a limit that is used; an idle server proves nothing."""
-    control.below = 0
-    if control.most_in_flight < control.limit / 2:
+    The latency of a mostly idle server says nothing about a higher limit.
+    """
+    control.periods_below = 0
+    if control.peak_in_flight < control.limit / 2:
         return
-    factor = SLOW_START if control.slow_start else RISE
-    control.limit = min(control.most, control.limit * factor)
+    factor = SLOW_START_FACTOR if control.slow_start else INCREASE_FACTOR
+    control.limit = min(control.max_limit, control.limit * factor)
--- a/laburnumsill/requests/answer.py
+++ b/laburnumsill/requests/answer.py
@@ -39,7 +39,7 @@
         errors.OutcomeUnknownError: The request may have run and will not be
             run again.
         messages.AnswerNotKeptError: The request was answered, but its answer
-            was not stored.
+            is not stored.
         errors.UnavailableError: The request was not run; a resend may run.
     """
     if status.answer is not None:
--- a/laburnumsill/requests/choose.py
+++ b/laburnumsill/requests/choose.py
@@ -1,4 +1,4 @@
-"""Policies that choose a backend server among those with room.
+"""Load balancing policies: choose one of several candidate servers.
 
 References:
     M. Mitzenmacher, "The Power of Two Choices in Randomized Load
@@ -18,7 +18,7 @@
 
 
 class Chooser(abc.ABC):
-    """Chooses one of several servers; it is never given none.
+    """Chooses one of several servers; there is at least one candidate.
 
     Args:
         rng: Source of random numbers.
@@ -31,13 +31,13 @@
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
 
-    def _two(self, candidates: Candidates) -> Candidates:
-        """Returns two in random order, so that ties go to either."""
+    def _sample_two(self, candidates: Candidates) -> Candidates:
+        """Returns two in random order, which breaks ties at random."""
         return self._rng.sample(candidates, min(2, len(candidates)))
 
 
 class RandomChooser(Chooser):
-    """Any server with the same chance."""
+    """Any server, with equal probability."""
 
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
@@ -45,7 +45,7 @@
 
 
 class LeastInFlightChooser(Chooser):
-    """The server at which this VM has the fewest requests."""
+    """The server with the fewest requests of this VM in flight."""
 
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
@@ -56,45 +56,48 @@
 
 
 class TwoChoicesChooser(Chooser):
-    """Of two random servers the one with fewer requests of this VM."""
+    """Of two random servers, the one with fewer requests of this VM."""
 
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
-        return min(self._two(candidates), key=lambda state: state.in_flight)
+        return min(
+            self._sample_two(candidates), key=lambda state: state.in_flight
+        )
 
 
 class ReportedTwoChoicesChooser(Chooser):
-    """Of two random servers the one with more free slots.
+    """Of two random servers, the one with the smaller share of busy slots.
 
-    It counts what the servers report of other VMs' requests too.
+    It includes the slots that the servers report as used by other VMs.
     """
 
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
-        return min(self._two(candidates), key=_reported_load)
+        return min(self._sample_two(candidates), key=_reported_load)
 
 
 class ShortestDelayChooser(Chooser):
-    """Of two random servers the one that likely answers sooner.
+    """Of two random servers, the one with the shorter expected delay.
 
-    The delay is taken as the mean latency seen from here for each request
-    in flight and the new one. A server not tried yet comes first.
+    The expected delay is this VM's mean latency of the server times the
+    number of its requests in flight, including the new one. It is zero for a
+    server without observed latency, so that such servers come first.
     """
 
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
         return min(
-            self._two(candidates),
+            self._sample_two(candidates),
             key=lambda state: (state.in_flight + 1) * state.latency_s,
         )
 
 
 class HotColdChooser(Chooser):
-    """The fastest cold server, or the least loaded if all are hot.
+    """The fastest cold server of a sample, or the least loaded if all are hot.
 
-    A server is hot when its load is in the upper part of a sample's loads.
-    Among cold ones latency decides, among hot ones load: the rule of
-    Prequal, on reports and observed latency in place of probes of its own.
+    A server is hot if its load is at or above the quantile `HOT_QUANTILE` of
+    the sample's loads. This is the rule of Prequal, with reported load and
+    observed latency instead of probes.
     """
 
     SAMPLE = 6
@@ -127,7 +130,11 @@
 
 
 def make(name: str, rng: random.Random) -> Chooser:
-    """Returns the chooser that the configuration calls `name`."""
+    """Returns a chooser of the policy `name`.
+
+    Raises:
+        errors.UnknownNameError: There is no such policy.
+    """
     if name not in CHOOSERS:
         raise errors.UnknownNameError(
             f"no chooser {name!r}; there are {', '.join(CHOOSERS)}"
--- a/laburnumsill/requests/classify.py
+++ b/laburnumsill/requests/classify.py
@@ -1,4 +1,4 @@
-"""The second filter: gives a request its class, account, key and deadline."""
+"""The classify filter: determines class, account, key and deadline."""
 
 import dataclasses
 
@@ -11,12 +11,15 @@
 """Longest idempotency key, in characters."""
 
 MAX_TIMEOUT_MS = 86_400_000
-"""Longest time that a caller may ask for."""
+"""Longest timeout that a caller may set."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Classified:
-    """What a request's head says, checked against the configuration."""
+    """A request's head, validated against the configuration.
+
+    See `messages.RoutedRequest` for the attributes.
+    """
 
     head: messages.RequestHead
     service: models.Service
@@ -30,11 +33,11 @@
 
     @property
     def needs_key(self) -> bool:
-        """Whether earlier sends of the same request matter."""
+        """Whether the request needs an idempotency key."""
         return self.request_class.durable or not self.request_class.repeatable
 
     def with_body(self, body: bytes) -> messages.RoutedRequest:
-        """Returns the whole request."""
+        """Returns the complete request."""
         return messages.RoutedRequest(
             self.head.request_id,
             self.head.service,
@@ -56,13 +59,13 @@
 def classify(
     head: messages.RequestHead, configuration: models.Configuration
 ) -> Classified:
-    """Returns what the head of a request says.
+    """Validates the head of a request against the configuration.
 
     Raises:
-        errors.UnknownNameError: Its service, class or account is unknown.
-        errors.MissingKeyError: Its class needs a key.
-        errors.DeadlinePassedError: It has no time left.
-        errors.InvalidInputError: A header cannot be read.
+        errors.UnknownNameError: The service, class or account is unknown.
+        errors.MissingKeyError: The class needs an idempotency key.
+        errors.DeadlinePassedError: The timeout is not positive.
+        errors.InvalidInputError: A header is malformed.
     """
     service = configuration.services.get(head.service)
     if service is None:
--- a/laburnumsill/requests/headers.py
+++ b/laburnumsill/requests/headers.py
@@ -1,4 +1,4 @@
-"""Names of headers, and which of them pass an intermediary.
+"""Names of HTTP headers, and the selection of end-to-end headers.
 
 References:
     RFC 9110, section 7.6.1: hop-by-hop header fields.
@@ -27,9 +27,13 @@
     }
 )
 
-_OWN = frozenset({CLASS, TIMEOUT_MS, OUTCOME, REQUEST_ID, b"date", b"expect"})
-"""Headers that this system reads or writes itself; `date` is written by the
-HTTP server and may stand in an answer only once."""
+_OWN_HEADERS = frozenset(
+    {CLASS, TIMEOUT_MS, OUTCOME, REQUEST_ID, b"date", b"expect"}
+)
+"""Headers that this system reads or writes itself and does not forward.
+
+`date` is among them because the HTTP server sets it, and an answer may have
+it only once."""
 
 
 def find(headers: backend.Headers, wanted: bytes) -> str | None:
@@ -46,17 +50,17 @@
 
 
 def end_to_end(headers: backend.Headers) -> backend.Headers:
-    """Returns the headers that are passed on.
+    """Returns the end-to-end headers, which a proxy forwards.
 
     Examples:
         >>> end_to_end(((b"connection", b"x-a"), (b"x-a", b"1"), (b"b", b"2")))
         ((b'b', b'2'),)
     """
-    named = {
+    connection_options = {
         token.strip().lower()
         for name, value in headers
         if name == b"connection"
         for token in value.split(b",")
     }
-    dropped = HOP_BY_HOP | _OWN | named
-    return tuple(pair for pair in headers if pair[0] not in dropped)
+    removed = HOP_BY_HOP | _OWN_HEADERS | connection_options
+    return tuple(pair for pair in headers if pair[0] not in removed)
--- a/laburnumsill/requests/home.py
+++ b/laburnumsill/requests/home.py
@@ -1,4 +1,4 @@
-"""The home of a key: the failure domain whose group keeps its record."""
+"""Home groups: assigns each idempotency key to a failure domain's group."""
 
 from laburnumsill.config import models
 from laburnumsill.core import hashing
@@ -6,10 +6,11 @@
 
 
 def home_group(key: str, configuration: models.Configuration) -> ids.GroupName:
-    """Returns the group that keeps what is known of `key`.
+    """Returns the group that stores the records of `key`.
 
     Args:
-        key: The key in its name space, see `messages.claim_key`.
+        key: The key in the namespace of its service and account, see
+            `messages.claim_key`.
         configuration: The configuration in force.
     """
     return ids.domain_group(hashing.rendezvous(key, configuration.domains))
--- a/laburnumsill/requests/limit.py
+++ b/laburnumsill/requests/limit.py
@@ -1,10 +1,10 @@
-"""Policies that limit how many requests of this VM are at one server.
+"""Concurrency limit policies: limits of this VM's requests to each server.
 
-No VM knows what the others send at this moment: a server's report of its
-busy slots is up to seconds old. A limiter that hands out what a report shows
-as free lets every VM hand out the same slots; one that keeps to an equal
-share never does, and wastes slots where VMs are loaded unevenly.
-`docs/design/routing.md` has the figures.
+A VM does not know the current load from other VMs: a server's report of its
+busy slots may be seconds old. If each VM uses all slots that a report shows
+as free, several VMs use the same slots. Equal shares prevent this, but waste
+slots if the load of the VMs is uneven. `docs/design/routing.md` has the
+figures.
 """
 
 import abc
@@ -17,11 +17,11 @@
 
 
 class Limiter(abc.ABC):
-    """Says how many requests of this VM a server may hold.
+    """Limits this VM's requests in flight to each server.
 
     Args:
-        entry_vms: VMs that share each server.
-        target_s: Latency to stay below, in seconds.
+        entry_vms: Number of VMs that share each server.
+        target_s: The target latency, in seconds.
     """
 
     def __init__(self, entry_vms: int, target_s: float) -> None:
@@ -34,23 +34,23 @@
 
         Args:
             state: The server.
-            share: Part of the server's slots that may be used at all.
+            share: Share of the server's slots that may be used.
         """
 
     def observe(self, state: servers.ServerState, latency_s: float) -> None:
-        """Takes in one latency, measured from the moment of the send."""
+        """Records a latency, measured from the send."""
         return
 
     def tick(self, now: float) -> None:
         """Adapts the limits; called several times a second."""
         return
 
-    def _equal(self, state: servers.ServerState, share: float) -> float:
+    def _equal_share(self, state: servers.ServerState, share: float) -> float:
         return state.server.slots * share / self._entry_vms
 
 
 class NoLimiter(Limiter):
-    """Lets any number through."""
+    """No limit in practice."""
 
     def limit(self, state: servers.ServerState, share: float = 1.0) -> float:
         """Returns the limit, see the base class."""
@@ -62,40 +62,44 @@
 
     def limit(self, state: servers.ServerState, share: float = 1.0) -> float:
         """Returns the limit, see the base class."""
-        return max(share, self._equal(state, share))
+        return max(share, self._equal_share(state, share))
 
 
 class ReportedLimiter(Limiter):
-    """All slots that others left free, and never less than an equal share."""
+    """All slots not used by other VMs, but at least an equal share."""
 
     def limit(self, state: servers.ServerState, share: float = 1.0) -> float:
         """Returns the limit, see the base class."""
         free = state.server.slots * share - state.busy_elsewhere
-        return max(share, self._equal(state, share), free)
+        return max(share, self._equal_share(state, share), free)
 
 
 class BorrowingLimiter(Limiter):
-    """An equal share, and an equal part of what the report shows as free.
+    """At least an equal share; more if the server reports free slots.
 
-    If all VMs take their parts at once, the slots are just used up, so the
-    reports may be old. A VM that is loaded alone comes to nearly all slots
-    within some reports. Where a report shows none free and others use some,
-    a VM above its equal share gives one back: the others have theirs as well,
-    and the sum would stay above the slots as long as the load lasts.
+    The limit is the VM's requests at the time of the report plus an equal
+    share of the free slots.
+
+    If all VMs use their limits at once, the slots are just used up, so old
+    reports do no harm. A VM that alone has load reaches nearly all slots
+    within a few reports. If a report shows no free slot and other VMs use
+    some, a VM above its equal share limits itself to one request fewer than
+    it had: the other VMs may use their equal shares too, and the sum would
+    otherwise exceed the slots while the load lasts.
     """
 
     def limit(self, state: servers.ServerState, share: float = 1.0) -> float:
         """Returns the limit, see the base class."""
         slots = state.server.slots * share
         free = max(0.0, slots - state.server.busy)
-        part = state.in_flight_at_report + free / self._entry_vms
+        borrowed_limit = state.in_flight_at_report + free / self._entry_vms
         if free < 1 and state.busy_elsewhere > 0:
-            part = state.in_flight_at_report - 1.0
-        return max(share, self._equal(state, share), part)
+            borrowed_limit = state.in_flight_at_report - 1.0
+        return max(share, self._equal_share(state, share), borrowed_limit)
 
 
 class AdaptiveLimiter(Limiter):
-    """Follows the latency of each server, see `adaptive`."""
+    """Limits that adapt to the latency of each server, see `adaptive`."""
 
     anchor = adaptive.Anchor.TARGET
 
@@ -105,11 +109,11 @@
 
     def limit(self, state: servers.ServerState, share: float = 1.0) -> float:
         """Returns the limit, see the base class."""
-        first = max(1.0, self._equal(state, 1.0))
-        return share * self._controls.limit(state, first)
+        initial = max(1.0, self._equal_share(state, 1.0))
+        return share * self._controls.limit(state, initial)
 
     def observe(self, state: servers.ServerState, latency_s: float) -> None:
-        """Takes in one latency, see the base class."""
+        """Records a latency, see the base class."""
         self._controls.observe(state, latency_s)
 
     def tick(self, now: float) -> None:
@@ -118,7 +122,7 @@
 
 
 class BaselineLimiter(AdaptiveLimiter):
-    """The same, relative to each server's own latency when it is idle."""
+    """Limits that adapt to latency relative to each server's baseline."""
 
     anchor = adaptive.Anchor.BASELINE
 
@@ -134,7 +138,11 @@
 
 
 def make(name: str, entry_vms: int, target_s: float) -> Limiter:
-    """Returns the limiter that the configuration calls `name`."""
+    """Returns a limiter of the policy `name`.
+
+    Raises:
+        errors.UnknownNameError: There is no such policy.
+    """
     if name not in LIMITERS:
         raise errors.UnknownNameError(
             f"no limiter {name!r}; there are {', '.join(LIMITERS)}"
--- a/laburnumsill/requests/lookup.py
+++ b/laburnumsill/requests/lookup.py
@@ -1,4 +1,4 @@
-"""What became of a key: a read of its home group's records."""
+"""Status queries for idempotency keys, answered by their home groups."""
 
 import dataclasses
 
@@ -10,21 +10,21 @@
 from laburnumsill.state import claim_records
 from laburnumsill.state import durable
 
-QUERY_S = 1.5
-"""Longest wait for an answer of the home group."""
+QUERY_TIMEOUT_S = 1.5
+"""Timeout of the home group's answer to both queries."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Known:
-    """What is known of a key, as callers get it.
+class KeyStatus:
+    """The status of an idempotency key, as sent to callers.
 
     Attributes:
-        key: The key in the name space of its service and account.
-        durable: Whether it is of a durable request.
+        key: The key in the namespace of its service and account.
+        durable: Whether its request is durable.
         state: A `claim_records.ClaimState` or `durable.DurableState`.
-        attempt: The newest attempt, None for durable requests.
-        status: HTTP status of the answer where it is known.
-        deadline: Wall time by which a durable request must have succeeded.
+        attempt: Id of the newest attempt, None for durable requests.
+        status: HTTP status of the answer, or None.
+        deadline: Deadline of a durable request in wall time, else None.
     """
 
     key: str
@@ -40,25 +40,34 @@
     groups: replication.Groups,
     configuration: models.Configuration,
     clock: clocks.Clock,
-) -> Known:
-    """Returns what is known of a key.
+) -> KeyStatus:
+    """Returns the status of a key.
 
     Raises:
-        errors.NotFoundError: Nothing is.
+        errors.NotFoundError: The home group has no record of the key.
         errors.UnavailableError: The home group cannot be reached.
     """
     group = home.home_group(key, configuration)
-    propose_deadline = clock.monotonic() + QUERY_S
-    kept: durable.DurableStatus = await groups.query(
+    propose_deadline = clock.monotonic() + QUERY_TIMEOUT_S
+    durable_status: durable.DurableStatus = await groups.query(
         group, durable.GetDurable(key), propose_deadline
     )
-    if kept.state is not None:
-        status = kept.status or None
-        return Known(key, True, kept.state, None, status, kept.deadline)
-    claim: claim_records.ClaimStatus = await groups.query(
+    if durable_status.state is not None:
+        status = durable_status.status or None
+        return KeyStatus(
+            key,
+            True,
+            durable_status.state,
+            None,
+            status,
+            durable_status.deadline,
+        )
+    claim_status: claim_records.ClaimStatus = await groups.query(
         group, claim_records.GetClaim(key, clock.wall()), propose_deadline
     )
-    if claim.state is None:
+    if claim_status.state is None:
         raise errors.NotFoundError(f"nothing is known of key {key!r}")
-    status = claim.answer.status if claim.answer else None
-    return Known(key, False, claim.state, claim.attempt, status, None)
+    status = claim_status.answer.status if claim_status.answer else None
+    return KeyStatus(
+        key, False, claim_status.state, claim_status.attempt, status, None
+    )
--- a/laburnumsill/requests/messages.py
+++ b/laburnumsill/requests/messages.py
@@ -1,4 +1,4 @@
-"""What flows through the filters: a request on its way in, an answer out."""
+"""The messages of the pipeline: requests, answers and outcomes."""
 
 import dataclasses
 import enum
@@ -12,16 +12,16 @@
 from laburnumsill.core import hashing
 
 ANONYMOUS = "anonymous"
-"""The account of callers that name none, on an equal footing with others."""
+"""The account of callers that name none; treated like any other account."""
 
 
 class Outcome(enum.StrEnum):
-    """What a caller is told in `Laburnumsill-Outcome`.
+    """The outcome of a request, as in the header `Laburnumsill-Outcome`.
 
-    `ANSWERED`: a backend server ran it and this is its whole answer.
-    `NOT_RUN`: no byte of it can have reached a backend server.
-    `UNKNOWN`: it may have run.
-    `ACCEPTED`: it is kept and will run, see durable requests.
+    `ANSWERED`: a backend server ran the request and returned this answer.
+    `NOT_RUN`: no byte of the request can have reached a backend server.
+    `UNKNOWN`: the request may have run.
+    `ACCEPTED`: the durable request is committed and will run.
     """
 
     ANSWERED = "answered"
@@ -31,17 +31,17 @@
 
 
 class DrainingError(errors.UnavailableError):
-    """This VM is shutting down; another one takes the request."""
+    """This VM is shutting down and accepts no new requests."""
 
     slug = "draining"
     title = "This VM is shutting down"
 
 
 class HomeUnreachableError(errors.OutcomeUnknownError):
-    """The group that keeps the request's record cannot be reached.
+    """The group that stores the request's record cannot be reached.
 
-    Nothing was sent for this request. Whether an earlier send of the same
-    key ran cannot be told, so the outcome of the key is unknown.
+    Nothing was sent for this request. An earlier send of the same key may
+    have run, so the outcome of the key is unknown.
     """
 
     slug = "home-unreachable"
@@ -51,7 +51,7 @@
 
 
 class AnswerNotKeptError(errors.ConflictError):
-    """The request was answered, and the answer was not kept for resends."""
+    """The request was answered, but its answer is not stored for resends."""
 
     slug = "answer-not-kept"
     title = "The request was answered; its answer was too large to keep"
@@ -59,15 +59,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestHead:
-    """A request as it came in, before its body is read.
+    """The head of a received request, before its body is read.
 
     Attributes:
-        request_id: Fresh for each request, for logs and the caller.
-        service: The service it names.
+        request_id: Unique id, for logs and the caller.
+        service: The requested service.
         method: The HTTP method.
         target: Path and query at the backend server.
         headers: All headers, names in lower case.
-        arrived: Monotonic point of its arrival.
+        arrived: Monotonic time of arrival.
     """
 
     request_id: str
@@ -80,23 +80,23 @@
 
 @dataclasses.dataclass(frozen=True)
 class RoutedRequest:
-    """A classified request.
+    """A complete, classified request.
 
     Attributes:
         request_id: See `RequestHead`.
         service: The service.
-        class_name: Its class.
+        class_name: The name of the request's class.
         request_class: The class as configured.
-        account: Its client account.
+        account: The client account.
         weight: The account's weight.
-        max_in_flight: The account's limit on one VM.
+        max_in_flight: The account's concurrency limit on one VM.
         key: The idempotency key, or None.
         method: The HTTP method.
         target: Path and query at the backend server.
         headers: End-to-end headers, names in lower case.
-        body: The whole body.
-        arrived: Monotonic point of its arrival.
-        deadline: Monotonic point by which it must have ended.
+        body: The complete body.
+        arrived: Monotonic time of arrival.
+        deadline: Deadline of the request, in monotonic time.
     """
 
     request_id: str
@@ -116,18 +116,18 @@
 
     @property
     def claim_key(self) -> str:
-        """The key in the name space of its service and account."""
+        """The key in the namespace of its service and account."""
         return claim_key(self.service, self.account, self.key or "")
 
     @functools.cached_property
     def digest(self) -> str:
-        """Digest of all that a resend must repeat."""
+        """Digest of method, target and body, which must match on resends."""
         head = f"{self.method} ".encode() + self.target + b"\0"
         return hashing.digest(head + self.body)
 
 
 def claim_key(service: str, account: str, key: str) -> str:
-    """Returns a caller's key in the name space of service and account.
+    """Returns a caller's key in the namespace of its service and account.
 
     Examples:
         >>> claim_key("huts", "tana", "k1")
@@ -137,14 +137,15 @@
 
 
 class Answer:
-    """What the caller gets: a head, and a body that may be streamed.
+    """An answer to the caller; the body may be streamed.
 
     Args:
-        outcome: What became of the request.
+        outcome: The outcome of the request.
         status: The HTTP status.
         headers: Headers, names in lower case.
-        body: The whole body, or its chunks, which raise when they are cut.
-        on_close: Called once when the answer was passed on or given up.
+        body: The complete body, or its chunks; the iterator raises an error
+            if the body is cut off.
+        on_close: Called once when the answer is closed.
     """
 
     def __init__(
@@ -164,16 +165,16 @@
     def add_close_callback(
         self, callback: abc.Callable[[], abc.Awaitable[None]]
     ) -> None:
-        """Calls `callback` too when the answer is closed."""
+        """Adds a callback for the closing of the answer."""
         self._on_close.append(callback)
 
     @property
     def whole_body(self) -> bytes | None:
-        """The body if it is at hand whole, else None."""
+        """The complete body, or None if it is streamed."""
         return self._body if isinstance(self._body, bytes) else None
 
     async def chunks(self) -> typing.AsyncIterator[bytes]:
-        """Yields the body; ends only when it is whole."""
+        """Yields the body; raises an error if it is incomplete."""
         if isinstance(self._body, bytes):
             if self._body:
                 yield self._body
@@ -182,7 +183,7 @@
             yield chunk
 
     async def aclose(self) -> None:
-        """Gives back what the answer holds; may be called again."""
+        """Releases the answer's resources; idempotent."""
         callbacks = self._on_close
         self._on_close = []
         for callback in callbacks:
--- a/laburnumsill/requests/policies.py
+++ b/laburnumsill/requests/policies.py
@@ -11,11 +11,11 @@
 
 
 class Policies:
-    """Makes the chooser and the limiter anew when their settings change.
+    """Holds the chooser and the limiter; replaces both on changed settings.
 
     Args:
         current: The configuration in force.
-        entry_vms: VMs that share each backend server.
+        entry_vms: Number of VMs that share each backend server.
         rng: Source of random numbers.
     """
 
@@ -60,7 +60,8 @@
         try:
             self._make(policy)
         except errors.UnknownNameError as error:
-            # Of a newer version of this program; routing must go on.
+            # A newer version of this program may have set an unknown policy;
+            # routing continues with the defaults.
             logs.event("policy-unknown", level="ERROR", detail=error.detail)
             self._make(models.RequestPolicy())
 
--- a/laburnumsill/requests/read.py
+++ b/laburnumsill/requests/read.py
@@ -1,7 +1,7 @@
-"""The first filter: reads a request's body within its limits.
+"""The read filter: reads request bodies within the limits of memory.
 
-Bodies wait in memory until their requests end, so all bodies of one VM
-together have a limit, of which one account may take half.
+Bodies are buffered until their requests end, so the buffered bytes of a VM
+are limited, and those of one account to a share of that limit.
 """
 
 import collections
@@ -15,18 +15,18 @@
 from laburnumsill.requests import classify
 from laburnumsill.requests import messages
 
-MAX_HELD_BYTES = 16 * 1024 * 1024
-"""Bytes of all bodies that one VM holds."""
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024
+"""Limit of the buffered bytes of all bodies on one VM."""
 
 MAX_ACCOUNT_SHARE = 0.5
-"""Part of these that one account's bodies may take."""
+"""Share of that limit which one account's bodies may use."""
 
 
 class UnreadError(errors.OutcomeUnknownError):
     """The body of a request with a key could not be read.
 
-    Nothing was sent. Whether an earlier send of the key ran is not looked
-    up, since without the body it cannot be told to be the same request.
+    Nothing was sent. Earlier sends of the key are not looked up, because
+    without the body's digest the request cannot be matched to them.
     """
 
     slug = "unread"
@@ -36,24 +36,26 @@
 
 
 class BodyReader:
-    """Reads bodies and counts what is held of them.
+    """Reads bodies and limits the buffered bytes.
 
     Args:
         clock: The process's clock.
-        max_held_bytes: Bytes of all bodies that are held.
+        max_buffered_bytes: Limit of the buffered bytes of all bodies.
     """
 
     def __init__(
-        self, clock: clocks.Clock, max_held_bytes: int = MAX_HELD_BYTES
+        self, clock: clocks.Clock, max_buffered_bytes: int = MAX_BUFFERED_BYTES
     ) -> None:
         self._clock = clock
-        self._max_held_bytes = max_held_bytes
-        self._held: collections.Counter[str] = collections.Counter()
+        self._max_buffered_bytes = max_buffered_bytes
+        self._buffered_by_account: collections.Counter[str] = (
+            collections.Counter()
+        )
 
     @property
-    def held_bytes(self) -> int:
-        """Bytes of all bodies that are held."""
-        return self._held.total()
+    def buffered_bytes(self) -> int:
+        """Buffered bytes of all bodies."""
+        return self._buffered_by_account.total()
 
     @contextlib.asynccontextmanager
     async def reading(
@@ -61,66 +63,66 @@
         classified: classify.Classified,
         chunks: abc.AsyncIterator[bytes],
     ) -> abc.AsyncIterator[messages.RoutedRequest]:
-        """Yields the whole request; its body counts as held inside.
+        """Yields the complete request; its body counts as buffered inside.
 
         Args:
-            classified: What its head says.
-            chunks: The body as it arrives.
+            classified: The classified head of the request.
+            chunks: Chunks of the body as they arrive.
 
         Raises:
             errors.TooLargeError: The body is over its service's limit.
-            errors.OverloadedError: Too many bodies are held.
+            errors.OverloadedError: Too many bytes are buffered.
             errors.DeadlinePassedError: The body did not arrive in time.
-            UnreadError: In place of the last two, where there may have been
-                an earlier send.
+            UnreadError: Instead of the last two, if there may have been an
+                earlier send of the request's key.
         """
-        # One buffer, for a list of small pieces takes many times their size.
-        held = bytearray()
+        # One buffer: a list of small chunks takes many times their size.
+        buffer = bytearray()
         try:
             try:
-                await self._read(classified, chunks, held)
+                await self._read(classified, chunks, buffer)
             except (errors.OverloadedError, errors.DeadlinePassedError) as err:
                 if classified.needs_key:
                     raise UnreadError(err.detail) from err
                 raise
-            yield classified.with_body(bytes(held))
+            yield classified.with_body(bytes(buffer))
         finally:
-            self._release(classified.account, len(held))
+            self._release(classified.account, len(buffer))
 
     async def _read(
         self,
         classified: classify.Classified,
         chunks: abc.AsyncIterator[bytes],
-        held: bytearray,
+        buffer: bytearray,
     ) -> None:
         limit = classified.service.max_body_bytes
         size = 0
-        left = classified.deadline - self._clock.monotonic()
-        with trio.move_on_after(max(0.0, left)):
+        remaining_s = classified.deadline - self._clock.monotonic()
+        with trio.move_on_after(max(0.0, remaining_s)):
             async for chunk in chunks:
                 size += len(chunk)
                 if size > limit:
                     raise errors.TooLargeError(
                         f"the body is over {limit} bytes"
                     )
-                self._hold(classified.account, len(chunk))
-                held += chunk
+                self._reserve(classified.account, len(chunk))
+                buffer += chunk
             return
         raise errors.DeadlinePassedError("the body did not arrive in time")
 
-    def _hold(self, account: str, size: int) -> None:
-        own = self._held[account] + size
+    def _reserve(self, account: str, size: int) -> None:
+        account_bytes = self._buffered_by_account[account] + size
         if (
-            self.held_bytes + size > self._max_held_bytes
-            or own > self._max_held_bytes * MAX_ACCOUNT_SHARE
+            self.buffered_bytes + size > self._max_buffered_bytes
+            or account_bytes > self._max_buffered_bytes * MAX_ACCOUNT_SHARE
         ):
             raise errors.OverloadedError(
-                f"{self.held_bytes} bytes of bodies are held,"
-                f" {own - size} of them of account {account!r}"
+                f"{self.buffered_bytes} bytes of bodies are held,"
+                f" {account_bytes - size} of them of account {account!r}"
             )
-        self._held[account] = own
+        self._buffered_by_account[account] = account_bytes
 
     def _release(self, account: str, size: int) -> None:
-        self._held[account] -= size
-        if not self._held[account]:
-            del self._held[account]
+        self._buffered_by_account[account] -= size
+        if not self._buffered_by_account[account]:
+            del self._buffered_by_account[account]
--- a/laburnumsill/requests/router.py
+++ b/laburnumsill/requests/router.py
@@ -57,7 +57,7 @@
         client: HTTP client for backend servers.
         clock: The process's clock.
         metrics: The daemon's metrics.
-        entry_vms: VMs that share each backend server.
+        entry_vms: Number of VMs that share each backend server.
     """
 
     def __init__(
@@ -170,7 +170,7 @@
         result.add_close_callback(self._decrement_in_flight)
         return result
 
-    async def known(self, key: str) -> lookup.Known:
+    async def known(self, key: str) -> lookup.KeyStatus:
         """Returns the status of an idempotency key, see `lookup.known`."""
         return await lookup.known(
             key, self._groups, self._configuration(), self._clock
--- a/laburnumsill/requests/tests/test_once.py
+++ b/laburnumsill/requests/tests/test_once.py
@@ -235,7 +235,7 @@
             with pytest.raises(read.UnreadError):
                 await support.ask(router, booking, b"x" * 200)
             await support.ask(router, support.head(bench.clock), b"x" * 200)
-        assert reader.held_bytes == 0
+        assert reader.buffered_bytes == 0
 
 
 printable = st.text(max_size=300).map(lambda text: text.encode())
