--- a/laburnumsill/requests/admit.py
+++ b/laburnumsill/requests/admit.py
@@ -66,8 +66,8 @@
 
     def waiting_classes(self) -> list[str]:
         """Returns the classes with queued requests, the most urgent first."""
-        waiter = [name for name, queue in self.queues.items() if queue]
-        return sorted(waiter, key=lambda name: self.classes[name].urgency)
+        names = [name for name, queue in self.queues.items() if queue]
+        return sorted(names, key=lambda name: self.classes[name].urgency)
 
     def in_flight_at_or_below(self, urgency: int) -> int:
         """Returns the requests in flight of `urgency` and less urgent ones."""
--- a/laburnumsill/requests/dispatch.py
+++ b/laburnumsill/requests/dispatch.py
@@ -165,8 +165,8 @@
         """Returns this VM's concurrency limit, see `admit.Capacity`."""
         limiter = self._policies.limiter
         now = self._clock.monotonic()
-        present = self._table.present(service)
-        usable = self._health.usable(present, now, repeatable=True)
+        states = self._table.servers_of(service)
+        usable = self._health.usable_servers(states, now, repeatable=True)
         return sum(limiter.limit(state, share) for state in usable)
 
     async def run(
@@ -329,7 +329,7 @@
     def _choose(
         self, request: messages.RoutedRequest, attempts: "_Attempts"
     ) -> servers.ServerState:
-        usable = self._usable(request, attempts.servers)
+        usable = self._usable_servers(request, attempts.servers)
         if not usable:
             raise errors.NoServerError(
                 f"no backend server of {request.service!r} can take requests"
@@ -386,11 +386,11 @@
             return below_limit, "far"
         return _least_over_limit(usable), "all-full"
 
-    def _usable(
+    def _usable_servers(
         self, request: messages.RoutedRequest, tried: abc.Set[str]
     ) -> list[servers.ServerState]:
-        usable = self._health.usable(
-            self._table.present(request.service),
+        usable = self._health.usable_servers(
+            self._table.servers_of(request.service),
             self._clock.monotonic(),
             repeatable=request.request_class.repeatable,
         )
--- a/laburnumsill/requests/durable.py
+++ b/laburnumsill/requests/durable.py
@@ -147,7 +147,7 @@
     async def _dispatch_once(
         self, record: durable.DurableRecord
     ) -> durable.EndDurable | None:
-        """Runs a request once; returns its end, or None if it must retry."""
+        """Runs a request once; returns its end, or None to retry it."""
         work = record.work
         if work is None:
             return None
--- a/laburnumsill/requests/health.py
+++ b/laburnumsill/requests/health.py
@@ -43,7 +43,7 @@
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
 
-    def usable(
+    def usable_servers(
         self,
         states: abc.Collection[servers.ServerState],
         now: float,
--- a/laburnumsill/requests/lookup.py
+++ b/laburnumsill/requests/lookup.py
@@ -35,7 +35,7 @@
     deadline: float | None
 
 
-async def known(
+async def key_status(
     key: str,
     groups: replication.Groups,
     configuration: models.Configuration,
@@ -48,9 +48,9 @@
         errors.UnavailableError: The home group cannot be reached.
     """
     group = home.home_group(key, configuration)
-    propose_deadline = clock.monotonic() + QUERY_TIMEOUT_S
+    query_deadline = clock.monotonic() + QUERY_TIMEOUT_S
     durable_status: durable.DurableStatus = await groups.query(
-        group, durable.GetDurable(key), propose_deadline
+        group, durable.GetDurable(key), query_deadline
     )
     if durable_status.state is not None:
         status = durable_status.status or None
@@ -63,7 +63,7 @@
             durable_status.deadline,
         )
     claim_status: claim_records.ClaimStatus = await groups.query(
-        group, claim_records.GetClaim(key, clock.wall()), propose_deadline
+        group, claim_records.GetClaim(key, clock.wall()), query_deadline
     )
     if claim_status.state is None:
         raise errors.NotFoundError(f"nothing is known of key {key!r}")
--- a/laburnumsill/requests/router.py
+++ b/laburnumsill/requests/router.py
@@ -171,8 +171,8 @@
         return result
 
     async def known(self, key: str) -> lookup.KeyStatus:
-        """Returns the status of an idempotency key, see `lookup.known`."""
-        return await lookup.known(
+        """Returns the status of an idempotency key, see `lookup.key_status`."""
+        return await lookup.key_status(
             key, self._groups, self._configuration(), self._clock
         )
 
--- a/laburnumsill/requests/servers.py
+++ b/laburnumsill/requests/servers.py
@@ -101,7 +101,7 @@
         self._states: dict[str, dict[str, ServerState]] = {}
         self._last_views: dict[str, tuple[members.BackendServer, ...]] = {}
 
-    def present(self, service: str) -> abc.Collection[ServerState]:
+    def servers_of(self, service: str) -> abc.Collection[ServerState]:
         """Returns the servers of a service, without those that are leaving."""
         servers = self._view.servers(service)
         if self._last_views.get(service) is not servers:
@@ -114,7 +114,7 @@
         return frozenset(
             state.server.address
             for service in list(self._states)
-            for state in self.present(service)
+            for state in self.servers_of(service)
         )
 
     def _refresh(
--- a/laburnumsill/requests/settle.py
+++ b/laburnumsill/requests/settle.py
@@ -17,7 +17,7 @@
 ANSWER_TIMEOUT_S = 5.0
 """Timeout for recording an answer, long enough for a leader election. Resends
 of an answered request get the same answer, unless the home group is
-unavailable for longer than this and this VM fails before it recovers."""
+unavailable for longer than this and this VM fails before the group recovers."""
 
 RETRY_LIMIT_S = 600.0
 """Time after which recording an outcome is abandoned; the outcome of the
@@ -66,7 +66,7 @@
 
 
 class Settler:
-    """Records outcomes of attempts, waiting for it or in the background.
+    """Records outcomes of attempts, in the foreground or the background.
 
     Args:
         groups: The replicated groups.
