--- a/laburnumsill/requests/accept.py
+++ b/laburnumsill/requests/accept.py
@@ -46,8 +46,8 @@
         """Commits a request and returns its acceptance or known result.
 
         Raises:
-            errors.OverloadedError: The request was not accepted, nor was an
-                earlier send of its key.
+            errors.OverloadedError: The request was not accepted, and no
+                record of its key is stored.
             messages.HomeUnreachableError: This or an earlier send of the
                 key may have been accepted.
             errors.KeyReusedError: The key belongs to another request.
--- a/laburnumsill/requests/adaptive.py
+++ b/laburnumsill/requests/adaptive.py
@@ -57,7 +57,8 @@
 class Anchor(enum.Enum):
     """The reference of the latency window.
 
-    `TARGET`: the target latency. `BASELINE`: the server's own latency.
+    `TARGET`: the target latency. `BASELINE`: a moving mean of the server's
+    median latencies, which follows decreases faster than increases.
     """
 
     TARGET = "target"
@@ -66,6 +67,19 @@
 
 @dataclasses.dataclass(slots=True)
 class _Control:
+    """The state of one server's control loop.
+
+    Attributes:
+        limit: The concurrency limit.
+        max_limit: Upper bound of `limit`.
+        slow_start: Whether the limit has not decreased yet.
+        periods_above: Consecutive periods above the window.
+        periods_below: Consecutive periods below the window.
+        baseline_s: The baseline latency, 0 before the first latency.
+        peak_in_flight: Most requests in flight in the current period.
+        latencies: Latencies of the current period, in seconds.
+    """
+
     limit: float
     max_limit: float
     slow_start: bool = True
@@ -169,7 +183,7 @@
 def _increase(control: _Control) -> None:
     """Increases the limit if at least half of it was used.
 
-    The latency of a mostly idle server says nothing about a higher limit.
+    The latency of a mostly idle server is no evidence for a higher limit.
     """
     control.periods_below = 0
     if control.peak_in_flight < control.limit / 2:
--- a/laburnumsill/requests/dispatch.py
+++ b/laburnumsill/requests/dispatch.py
@@ -218,7 +218,7 @@
             self._health.record_failure(state, self._clock.monotonic(), failure)
 
     def abandon_attempt(self, state: servers.ServerState) -> None:
-        """Records an attempt that says nothing about the server's health."""
+        """Records an attempt that is no evidence of the server's health."""
         state.in_flight -= 1
         self._health.record_cancellation(state)
 
--- a/laburnumsill/requests/health.py
+++ b/laburnumsill/requests/health.py
@@ -105,7 +105,7 @@
             self._eject(state, now)
 
     def record_cancellation(self, state: servers.ServerState) -> None:
-        """Records a request that says nothing about the server's health."""
+        """Records a request that is no evidence of the server's health."""
         state.probing = False
 
     def _eject(self, state: servers.ServerState, now: float) -> None:
--- a/laburnumsill/requests/once.py
+++ b/laburnumsill/requests/once.py
@@ -112,11 +112,15 @@
         configuration: models.Configuration,
         error: errors.LaburnumsillError,
     ) -> messages.Answer:
-        """Raises `error`, or returns the stored answer to the same key.
+        """Returns the stored answer of a key whose request is not to be run.
 
-        `error` says that the request was not run. It is raised only after
-        the home group has fenced off the key, so that no send of it that has
+        `error` reports the outcome "not run". It is raised only after the
+        home group has fenced off the key, so that no send of it that has
         arrived by now can run.
+
+        Raises:
+            errors.LaburnumsillError: `error`, or the status of an earlier
+                send that ran or may have run.
         """
         group = home.home_group(request.claim_key, configuration)
         status = await self._claim_filter.refuse(request, group)
--- a/laburnumsill/requests/tests/test_policies.py
+++ b/laburnumsill/requests/tests/test_policies.py
@@ -85,7 +85,7 @@
     assert limiter.limit(server_state) == 1.0
     now = 0.0
 
-    def periods(count, latency_s):
+    def run_periods(count, latency_s):
         nonlocal now
         for _ in range(count):
             server_state.in_flight = int(limiter.limit(server_state))
@@ -95,12 +95,12 @@
             now += 1.0
             limiter.tick(now)
 
-    periods(6, 0.02)
+    run_periods(6, 0.02)
     increased = limiter.limit(server_state)
     assert increased == 8.0
-    periods(2, 0.2)
+    run_periods(2, 0.2)
     assert limiter.limit(server_state) < increased
-    periods(40, 0.2)
+    run_periods(40, 0.2)
     assert limiter.limit(server_state) == 1.0
     server_state.in_flight = 0
     for _ in range(10):
