--- a/laburnumsill/requests/policies.py
+++ b/laburnumsill/requests/policies.py
@@ -11,23 +11,23 @@
 
 
 class Policies:
-    """Makes the chooser and the limiter anew when their settings change.
+    """Holds the chooser and the limiter; replaces both on changed settings.
 
     Args:
         current: The configuration in force.
-        entry_vms: VMs that share each backend server.
-        draw: Source of random numbers.
+        entry_vms: Number of VMs that share each backend server.
+        rng: Source of random numbers.
     """
 
     def __init__(
         self,
         current: current_module.Current,
         entry_vms: int,
-        draw: random.Random,
+        rng: random.Random,
     ) -> None:
         self._current = current
         self._entry_vms = entry_vms
-        self._draw = draw
+        self._rng = rng
         self._settings: tuple[str, str, int] | None = None
         self._refresh()
 
@@ -60,12 +60,13 @@
         try:
             self._make(policy)
         except errors.UnknownNameError as error:
-            # Of a newer version of this program; routing must go on.
+            # A newer version of this program may have set an unknown policy;
+            # routing continues with the defaults.
             logs.event("policy-unknown", level="ERROR", detail=error.detail)
             self._make(models.RequestPolicy())
 
     def _make(self, policy: models.RequestPolicy) -> None:
-        self._chooser = choose.make(policy.chooser, self._draw)
+        self._chooser = choose.make(policy.chooser, self._rng)
         self._limiter = limit.make(
             policy.limiter, self._entry_vms, policy.target_latency_ms / 1000
         )
