--- a/laburnumsill/state/answers.py
+++ b/laburnumsill/state/answers.py
@@ -1,4 +1,4 @@
-"""Answers as they are kept in replicated state for resends."""
+"""Backend server answers as stored in replicated state for resends."""
 
 import dataclasses
 
@@ -8,12 +8,12 @@
 @codec.register("state.stored-answer")
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """The whole answer of a backend server.
+    """The complete answer of a backend server.
 
     Attributes:
         status: The HTTP status.
         headers: End-to-end headers, names in lower case.
-        body: The whole body.
+        body: The complete body.
     """
 
     status: int
--- a/laburnumsill/state/claim_records.py
+++ b/laburnumsill/state/claim_records.py
@@ -1,4 +1,4 @@
-"""What is asked of the claims and what they keep, see `claims`."""
+"""Commands, queries and records of the component in `claims`."""
 
 import dataclasses
 import enum
@@ -8,20 +8,21 @@
 from laburnumsill.state import answers
 
 REFUSE_PATIENCE_S = 0.5
-"""Longest wait of a VM for the commit of "not run" before it answers."""
+"""Timeout of a VM that waits for the commit of a `RefuseRequest` before it
+answers its caller."""
 
 FENCE_S = REFUSE_PATIENCE_S + clock.MAX_CLOCK_DRIFT_S
-"""How far after a command's time its fence lies."""
+"""Offset of the fence from the time of the command that raises it."""
 
 CLAIM_WINDOW_S = 30.0
-"""A VM proposes no claim for a request that arrived longer ago."""
+"""Maximum age of a request for which a VM proposes a claim."""
 
 NOT_RUN_RETENTION_S = 2 * CLAIM_WINDOW_S
-"""How long a key that was not run is remembered."""
+"""Retention of the record of a request that was not run."""
 
 
 class ClaimState(enum.StrEnum):
-    """What is known of a claimed request."""
+    """State of a request that is not repeatable."""
 
     IN_PROGRESS = "in-progress"
     ANSWERED = "answered"
@@ -32,17 +33,17 @@
 @codec.register("claims.claim-request")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """Asks for the right to run a request; idempotent by `attempt`.
+    """Command that claims a request for an attempt; idempotent by `attempt`.
 
     Attributes:
         key: The idempotency key with its service and account.
         digest: Digest of method, path and body.
-        attempt: Id of the one attempt that would run it.
+        attempt: Id of the attempt that would run the request.
         vm: The VM that made the attempt.
         arrived: Wall time at which the request arrived at the VM.
         now: Wall time of the proposal.
-        deadline: Wall time after which the attempt is over.
-        forget_at: Wall time after which the record is dropped.
+        deadline: Wall time at which the attempt times out.
+        forget_at: Wall time at which the record expires.
     """
 
     key: str
@@ -58,9 +59,9 @@
 @codec.register("claims.refuse-request")
 @dataclasses.dataclass(frozen=True, slots=True)
 class RefuseRequest:
-    """Fences off a key before its caller is told that it was not run.
+    """Command that fences a key before a caller gets the answer "not run".
 
-    Nothing changes where the key has run, runs or may have run.
+    It changes nothing if the request has run, runs or may have run.
 
     Attributes:
         key: The idempotency key with its service and account.
@@ -76,17 +77,17 @@
 @codec.register("claims.settle-request")
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettleRequest:
-    """Records how an attempt ended; idempotent by `attempt`.
+    """Command that records an attempt's outcome; idempotent by `attempt`.
 
     Attributes:
         key: The claimed key.
-        digest: The digest that was claimed.
+        digest: The digest of the claim.
         attempt: The attempt that ended.
-        outcome: Anything but `ClaimState.IN_PROGRESS`.
-        answer: The whole answer, or None where there is none to keep.
+        outcome: Any state but `ClaimState.IN_PROGRESS`.
+        answer: The complete answer, or None if there is none to store.
         now: Wall time of the proposal.
-        forget_at: Wall time after which the record is dropped; one that was
-            not run is dropped earlier.
+        forget_at: Wall time at which the record expires; that of a request
+            that was not run expires after `NOT_RUN_RETENTION_S`.
     """
 
     key: str
@@ -101,7 +102,7 @@
 @codec.register("claims.get-claim")
 @dataclasses.dataclass(frozen=True, slots=True)
 class GetClaim:
-    """Asks what is known of a key at wall time `now`."""
+    """Query for the state of a request at wall time `now`."""
 
     key: str
     now: float
@@ -110,11 +111,11 @@
 @codec.register("claims.claim-status")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimStatus:
-    """What is known of a key.
+    """Answer to all commands and the query.
 
     Attributes:
-        granted: Whether the asking attempt holds the claim.
-        state: What is known of the request; None where there is no record.
+        granted: Whether the attempt of a `ClaimRequest` holds the claim.
+        state: State of the request, None without a record.
         attempt: The newest attempt.
         answer: The stored answer, or None.
     """
@@ -128,17 +129,18 @@
 @codec.register("claims.record")
 @dataclasses.dataclass(slots=True)
 class ClaimRecord:
-    """One key.
+    """Record of the request with one idempotency key.
 
     Attributes:
         key: See `ClaimRequest`.
         digest: See `ClaimRequest`.
         attempt: The newest attempt, empty before the first.
-        state: How it stands.
-        deadline: Wall time after which it is over.
-        forget_at: Wall time after which the record is dropped.
-        fence: Wall time; a request that arrived earlier is not granted.
-        ended: Attempts that must not be granted any more.
+        state: The recorded state; `state_at` applies the deadline.
+        deadline: Wall time at which the newest attempt times out.
+        forget_at: Wall time at which the record expires.
+        fence: Wall time; an attempt whose request arrived by then is not
+            granted the claim.
+        ended: Attempts that have ended and are never granted the claim.
         answer: The stored answer, or None.
     """
 
@@ -153,6 +155,6 @@
     answer: answers.StoredAnswer | None = None
 
     def state_at(self, now: float) -> ClaimState:
-        """Returns the state as it reads at wall time `now`."""
+        """Returns the state at wall time `now`, unknown past the deadline."""
         late = self.state is ClaimState.IN_PROGRESS and now >= self.deadline
         return ClaimState.UNKNOWN if late else self.state
--- a/laburnumsill/state/durable.py
+++ b/laburnumsill/state/durable.py
@@ -1,8 +1,9 @@
-"""Durable requests: accepted once committed, kept until they have succeeded.
+"""Durable requests: accepted once committed, stored until they have ended.
 
-Memory: the bodies that wait take at most `MAX_PENDING_BYTES`, and there are
-at most `MAX_DURABLE` records; beyond either, new ones are refused. An ended
-request keeps its outcome and its answer's status, not its body.
+Memory: pending requests take at most `MAX_PENDING_BYTES`, and there are at
+most `MAX_RECORDS` records; beyond either limit, new requests are refused. The
+record of an ended request holds the outcome and the status of the answer, but
+not the request's body.
 """
 
 import collections
@@ -15,29 +16,30 @@
 from laburnumsill.core import errors
 from laburnumsill.core import replication
 
-MAX_DURABLE = 50_000
-"""Records in one domain's group."""
+MAX_RECORDS = 50_000
+"""Limit of the records in one domain's group."""
 
 MAX_PENDING_BYTES = 16 * 1024 * 1024
-"""Bytes of all pending requests in one domain's group."""
+"""Limit of the bytes of all pending requests in one domain's group."""
 
 MAX_ACCOUNT_SHARE = 0.5
-"""Part of these bytes that one account may take, so that its flood does not
-shut out the others."""
+"""Fraction of `MAX_PENDING_BYTES` that one account may use, so that one
+account's burst leaves capacity for the others."""
 
-PRUNED_PER_COMMAND = 16
-"""Records forgotten at most by one command."""
+MAX_PRUNED_PER_COMMAND = 16
+"""Limit of the expired records that one command examines, so that the time
+to apply a command is bounded."""
 
-_RECORD_BYTES = 512
-"""What a pending record counts beside its body and headers."""
+_RECORD_OVERHEAD_BYTES = 512
+"""Bytes counted for a pending record besides target, headers and body."""
 
 
 class DurableState(enum.StrEnum):
-    """What is known of a durable request.
+    """State of a durable request.
 
-    A request expires when no success was recorded by its deadline. One that
-    is not repeatable ends as failed by an answer that is no success, and as
-    unknown where its answer was lost.
+    A request expires if no success was recorded by its deadline. A request
+    that is not repeatable fails at the first answer that is not a success,
+    and its outcome is unknown if the answer was lost.
     """
 
     PENDING = "pending"
@@ -50,17 +52,17 @@
 @codec.register("durable.work")
 @dataclasses.dataclass(frozen=True, slots=True)
 class DurableWork:
-    """What is to be sent to a backend server.
+    """The request to send to a backend server.
 
     Attributes:
         service: The service.
-        request_class: The class, as the configuration names it.
+        request_class: Name of the request class in the configuration.
         account: The client account.
-        idempotency_key: The caller's own key.
+        idempotency_key: The caller's idempotency key.
         method: The HTTP method.
         target: Path and query.
         headers: End-to-end headers.
-        body: The whole body.
+        body: The complete body.
     """
 
     service: str
@@ -76,15 +78,16 @@
 @codec.register("durable.accept")
 @dataclasses.dataclass(frozen=True, slots=True)
 class AcceptDurable:
-    """Accepts a request; idempotent by `key`.
+    """Command that accepts a request; idempotent by `key`.
 
     Attributes:
         key: The idempotency key with its service and account.
         digest: Digest of method, path and body.
-        work: What is to be sent.
+        work: The request to send.
         now: Wall time of the proposal.
-        deadline: Wall time after which it is given up.
-        forget_at: Wall time after which the record is dropped.
+        deadline: Wall time after which the request expires.
+        forget_at: Wall time after which the record is pruned once the
+            request has ended.
     """
 
     key: str
@@ -98,14 +101,14 @@
 @codec.register("durable.end")
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndDurable:
-    """Records how a durable request ended; the first end stays.
+    """Command that records the outcome of a request; the first one stays.
 
     Attributes:
-        key: The key.
-        state: Anything but `DurableState.PENDING`.
-        status: HTTP status of the answer, 0 without one.
+        key: The idempotency key with its service and account.
+        state: The outcome; any state but `DurableState.PENDING`.
+        status: HTTP status of the answer, 0 without an answer.
         now: Wall time of the proposal.
-        forget_at: Wall time after which the record is dropped.
+        forget_at: Wall time after which the record is pruned.
     """
 
     key: str
@@ -118,7 +121,7 @@
 @codec.register("durable.get")
 @dataclasses.dataclass(frozen=True, slots=True)
 class GetDurable:
-    """Asks what is known of a key."""
+    """Query for the state of the request with a key."""
 
     key: str
 
@@ -126,7 +129,14 @@
 @codec.register("durable.status")
 @dataclasses.dataclass(frozen=True, slots=True)
 class DurableStatus:
-    """What is known of a key; `state` is None where there is no record."""
+    """Answer to both commands and the query.
+
+    Attributes:
+        state: State of the request, None without a record.
+        status: HTTP status of the answer, 0 without an answer.
+        accepted_at: Wall time of the acceptance.
+        deadline: Wall time after which the request expires.
+    """
 
     state: DurableState | None
     status: int = 0
@@ -137,7 +147,7 @@
 @codec.register("durable.record")
 @dataclasses.dataclass(slots=True)
 class DurableRecord:
-    """One key; `work` is None once it has ended."""
+    """Record of one request; `work` is None once the request has ended."""
 
     key: str
     digest: str
@@ -156,11 +166,11 @@
 
 
 class DurableRequests(replication.Component):
-    """The durable requests whose home is one failure domain."""
+    """State machine component for the durable requests of one home domain."""
 
     def __init__(
         self,
-        max_records: int = MAX_DURABLE,
+        max_records: int = MAX_RECORDS,
         max_pending_bytes: int = MAX_PENDING_BYTES,
     ) -> None:
         self._max_records = max_records
@@ -180,38 +190,38 @@
 
     @property
     def pending(self) -> dict[str, DurableRecord]:
-        """The requests that have not ended, by key, oldest first."""
+        """The pending requests by key, the oldest first."""
         return self._pending
 
     @property
     def pending_bytes(self) -> int:
-        """Bytes that the pending requests count."""
+        """Bytes counted for all pending requests."""
         return self._pending_bytes.total()
 
     def __len__(self) -> int:
         return len(self._records)
 
     def commands(self) -> dict[type, replication.Handler]:
-        """Returns the handlers of both commands."""
+        """Returns the handlers by command type."""
         return {AcceptDurable: self._accept, EndDurable: self._end}
 
     def queries(self) -> dict[type, replication.Handler]:
-        """Returns the handler of the one query."""
+        """Returns the handlers by query type."""
         return {GetDurable: self._get}
 
     def dump(self) -> bytes:
-        """Returns all records in the order of their acceptance."""
+        """Returns all records, encoded, in the order of acceptance."""
         return codec.encode(_Dump(tuple(self._records.values())))
 
     def load(self, raw: bytes) -> None:
-        """Replaces all records."""
+        """Replaces all records by those that `dump` returned."""
         dump: _Dump = codec.decode(raw)
         self._clear()
         for record in dump.records:
-            self._put(record)
+            self._add_record(record)
 
     def _accept(self, command: AcceptDurable) -> DurableStatus:
-        self._prune(command.now)
+        self._prune_ended(command.now)
         record = self._records.get(command.key)
         if record is not None:
             if record.digest != command.digest:
@@ -219,7 +229,7 @@
                     f"key {command.key!r} was used with another request"
                 )
             return _status(record)
-        self._check_room(command.work)
+        self._check_capacity(command.work)
         record = DurableRecord(
             command.key,
             command.digest,
@@ -230,11 +240,11 @@
             command.deadline,
             command.forget_at,
         )
-        self._put(record)
+        self._add_record(record)
         return _status(record)
 
-    def _check_room(self, work: DurableWork) -> None:
-        size = _size(work)
+    def _check_capacity(self, work: DurableWork) -> None:
+        size = _work_bytes(work)
         own = self._pending_bytes[work.account] + size
         if (
             len(self._records) >= self._max_records
@@ -247,7 +257,7 @@
             )
 
     def _end(self, command: EndDurable) -> DurableStatus:
-        self._prune(command.now)
+        self._prune_ended(command.now)
         record = self._records.get(command.key)
         if record is None:
             return DurableStatus(None)
@@ -264,25 +274,25 @@
         record = self._records.get(query.key)
         return _status(record) if record else DurableStatus(None)
 
-    def _put(self, record: DurableRecord) -> None:
+    def _add_record(self, record: DurableRecord) -> None:
         self._records[record.key] = record
         self._by_forget_at.add((record.forget_at, record.key))
         if record.work is not None:
             self._pending[record.key] = record
-            self._pending_bytes[record.work.account] += _size(record.work)
+            self._pending_bytes[record.work.account] += _work_bytes(record.work)
 
     def _drop_work(self, record: DurableRecord) -> None:
         if record.work is not None:
             account = record.work.account
-            self._pending_bytes[account] -= _size(record.work)
+            self._pending_bytes[account] -= _work_bytes(record.work)
             if not self._pending_bytes[account]:
                 del self._pending_bytes[account]
             del self._pending[record.key]
             record.work = None
 
-    def _prune(self, now: float) -> None:
-        """Forgets ended records; a pending one is kept until it ends."""
-        for _ in range(PRUNED_PER_COMMAND):
+    def _prune_ended(self, now: float) -> None:
+        """Removes expired records; a pending request's record is kept."""
+        for _ in range(MAX_PRUNED_PER_COMMAND):
             if not self._by_forget_at or self._by_forget_at[0][0] > now:
                 return
             _, key = self._by_forget_at.pop(0)
@@ -291,9 +301,9 @@
                 del self._records[key]
 
 
-def _size(work: DurableWork) -> int:
+def _work_bytes(work: DurableWork) -> int:
     headers = sum(len(name) + len(value) for name, value in work.headers)
-    return _RECORD_BYTES + len(work.target) + headers + len(work.body)
+    return _RECORD_OVERHEAD_BYTES + len(work.target) + headers + len(work.body)
 
 
 def _status(record: DurableRecord) -> DurableStatus:
--- a/laburnumsill/state/machines.py
+++ b/laburnumsill/state/machines.py
@@ -1,4 +1,4 @@
-"""The two replicated state machines, composed of their parts."""
+"""The two replicated state machines, composed of their components."""
 
 from laburnumsill.core import ids
 from laburnumsill.core import replication
@@ -12,21 +12,21 @@
 
 
 def root_machine() -> replication.StateMachine:
-    """Returns a fresh root machine: configuration and groups' make-up."""
+    """Returns an empty root machine: configuration and group membership."""
     return replication.StateMachine(
-        configuration.ConfigurationLog(), make_up.GroupMakeUp()
+        configuration.ConfigurationLog(), make_up.GroupMembership()
     )
 
 
 def domain_machine(domain: str) -> replication.StateMachine:
-    """Returns a fresh machine of one failure domain."""
+    """Returns an empty machine of one failure domain."""
     return replication.StateMachine(
         claims.Claims(), durable.DurableRequests(), jobs.JobLedger(domain)
     )
 
 
 def machine_of(group: str) -> replication.StateMachine:
-    """Returns a fresh state machine for a group.
+    """Returns an empty state machine for a Raft group.
 
     Raises:
         ValueError: `group` is neither the root group nor a domain's.
--- a/laburnumsill/state/make_up.py
+++ b/laburnumsill/state/make_up.py
@@ -1,9 +1,9 @@
-"""The make-up of the groups: which VMs are to hold each group's replicas.
+"""Desired membership of the Raft groups: the VMs that are voters of each.
 
-The first make-up follows from the VMs in the settings, see
-`core.topology.first_groups`. The root group records what has changed since.
-Each change names the voters it replaces, so that of two racing changes one
-is refused.
+The initial voters follow from the VMs in the settings, see
+`core.topology.first_groups`. The root group records only the groups whose
+voters have changed since. Each change names the voters it replaces, so that
+of two concurrent changes one is refused.
 """
 
 import dataclasses
@@ -15,7 +15,7 @@
 
 
 class MakeUpChangedError(errors.ConflictError):
-    """The group has other voters than the change expected."""
+    """The group's voters differ from those that the change expected."""
 
     slug = "make-up-changed"
     title = "The group's make-up was changed meanwhile"
@@ -24,13 +24,13 @@
 @codec.register("make-up.change")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeMakeUp:
-    """Gives a group other voters.
+    """Command that replaces a group's voters; idempotent.
 
     Attributes:
         group: The group's name.
         expected: The voters that are replaced, sorted.
         voters: The new voters.
-        reason: Why, for people.
+        reason: Reason of the change, for operators.
     """
 
     group: str
@@ -42,13 +42,18 @@
 @codec.register("make-up.get")
 @dataclasses.dataclass(frozen=True, slots=True)
 class GetMakeUp:
-    """Asks for all changes since the first make-up."""
+    """Query for all changes since the initial membership."""
 
 
 @codec.register("make-up")
 @dataclasses.dataclass(frozen=True, slots=True)
 class MakeUp:
-    """The changed groups' voters; `revision` grows with each change."""
+    """Voters of the groups that have changed.
+
+    Attributes:
+        revision: Number of changes applied.
+        changed: The present voters of each changed group, sorted.
+    """
 
     revision: int = 0
     changed: dict[str, tuple[str, ...]] = dataclasses.field(
@@ -58,10 +63,10 @@
     def over(
         self, first: abc.Mapping[str, abc.Sequence[str]]
     ) -> dict[str, list[str]]:
-        """Returns the voters of every group.
+        """Returns the present voters of every group.
 
         Args:
-            first: The first make-up of every group.
+            first: The initial voters of every group.
 
         Examples:
             >>> MakeUp(1, {"g": ("c",)}).over({"g": ["a"], "h": ["b"]})
@@ -73,15 +78,15 @@
         }
 
 
-class GroupMakeUp(replication.Component):
-    """The part of the root state that holds the groups' make-up."""
+class GroupMembership(replication.Component):
+    """Component of the root machine that holds the groups' membership."""
 
     def __init__(self) -> None:
         self._make_up = MakeUp()
 
     @property
     def name(self) -> str:
-        """The key of this part in a snapshot."""
+        """The key of this component in a snapshot."""
         return "make-up"
 
     def commands(self) -> dict[type, replication.Handler]:
@@ -102,7 +107,7 @@
 
     @property
     def make_up(self) -> MakeUp:
-        """The present make-up."""
+        """All changes since the initial membership."""
         return self._make_up
 
     def _change(self, command: ChangeMakeUp) -> MakeUp:
--- a/laburnumsill/state/tests/test_claims.py
+++ b/laburnumsill/state/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Claims: never two grants alive, never one after a run, truthful not-run."""
+"""Claims: one grant at a time, none after a run, none after a "not run"."""
 
 import hypothesis
 import pytest
@@ -51,7 +51,7 @@
     assert (again.granted, again.answer) == (False, ANSWER)
 
 
-def test_attempt_given_up_is_not_granted_late():
+def test_ended_attempt_is_not_granted_a_late_claim():
     state = machine()
     state.apply(settle("a", States.NOT_RUN, 1.0))
     assert not state.apply(claim("a", 0.5)).granted
@@ -70,7 +70,7 @@
     assert state.apply(refused).state is States.IN_PROGRESS
 
 
-def test_another_digest_is_refused():
+def test_a_key_with_another_digest_is_refused():
     state = machine()
     state.apply(claim("a", 0.0))
     for command in (
@@ -82,7 +82,7 @@
             state.apply(command)
 
 
-def test_memory_is_bounded():
+def test_records_and_answer_bytes_are_bounded():
     state = machine(max_claims=3, max_answers_bytes=10)
     for n in range(3):
         key = str(n)
@@ -98,7 +98,7 @@
     assert len(part) == 1
 
 
-def test_dump_and_load_keep_everything():
+def test_snapshot_restores_all_records():
     state = machine()
     state.apply(claim("a", 0.0))
     state.apply(settle("a", States.ANSWERED, 1.0, answer=ANSWER))
@@ -111,9 +111,10 @@
 
 
 class ClaimsMachine(stateful.RuleBasedStateMachine):
-    """VMs claim one key; proposals are lost, applied late or twice.
+    """VMs claim one key; commands are delayed, duplicated or never applied.
 
-    The model knows which attempts a VM sent, gave up, or may still send.
+    The model records which attempts were sent or abandoned, and which may
+    still be sent.
     """
 
     def __init__(self):
@@ -121,76 +122,78 @@
         self.state = machine()
         self.now = 0.0
         self.count = 0
-        self.waiting = {}  # attempt: its claim command, not decided by its VM
-        self.holding = set()  # granted, its VM may send
+        self.undecided = {}  # claim commands by attempt, to be proposed
+        self.granted_attempts = set()  # may be sent
         self.sent = set()
-        self.sent_arrivals = {}
-        self.limbo = []  # commands that may yet be applied
-        self.promises = []  # wall times at which a caller was told not-run
+        self.arrivals_of_sent = {}
+        self.delayed = []  # commands that may be applied later
+        self.not_run_answers = []  # wall times of the answers "not run"
 
     def _apply(self, command):
         return self.state.apply(command)
 
     @stateful.rule(seconds=st.floats(0.01, 4.0))
-    def time_passes(self, seconds):
+    def clock_advances(self, seconds):
         self.now += seconds
 
     @stateful.rule()
     def request_arrives(self):
         self.count += 1
         attempt = f"a{self.count}"
-        self.waiting[attempt] = claim(attempt, self.now)
-
-    @stateful.precondition(lambda self: self.waiting)
-    @stateful.rule(data=st.data(), lost=st.booleans())
-    def vm_proposes(self, data, lost):
-        attempt = data.draw(st.sampled_from(sorted(self.waiting)))
-        command = self.waiting[attempt]
-        if lost:
-            self.limbo.append(command)
+        self.undecided[attempt] = claim(attempt, self.now)
+
+    @stateful.precondition(lambda self: self.undecided)
+    @stateful.rule(data=st.data(), is_delayed=st.booleans())
+    def vm_proposes(self, data, is_delayed):
+        attempt = data.draw(st.sampled_from(sorted(self.undecided)))
+        command = self.undecided[attempt]
+        if is_delayed:
+            self.delayed.append(command)
             return
         if self._apply(command).granted:
-            del self.waiting[attempt]
-            self.holding.add(attempt)
-            assert len(self.holding) == 1
+            del self.undecided[attempt]
+            self.granted_attempts.add(attempt)
+            assert len(self.granted_attempts) == 1
             assert not self.sent
-            told = [t for t in self.promises if command.arrived <= t]
-            assert not told, "ran for a caller told not-run"
-            self.sent_arrivals[attempt] = command.arrived
-
-    @stateful.precondition(lambda self: self.waiting)
-    @stateful.rule(data=st.data(), lost=st.booleans())
-    def vm_gives_up_before_the_grant(self, data, lost):
-        attempt = data.draw(st.sampled_from(sorted(self.waiting)))
-        del self.waiting[attempt]
+            broken = [t for t in self.not_run_answers if command.arrived <= t]
+            assert not broken, (
+                "granted for a caller that got the answer not run"
+            )
+            self.arrivals_of_sent[attempt] = command.arrived
+
+    @stateful.precondition(lambda self: self.undecided)
+    @stateful.rule(data=st.data(), is_delayed=st.booleans())
+    def vm_abandons_an_attempt_before_the_grant(self, data, is_delayed):
+        attempt = data.draw(st.sampled_from(sorted(self.undecided)))
+        del self.undecided[attempt]
         command = settle(attempt, States.NOT_RUN, self.now)
-        if lost:
-            self.limbo.append(command)
+        if is_delayed:
+            self.delayed.append(command)
         else:
             self._apply(command)
 
-    @stateful.precondition(lambda self: self.holding)
+    @stateful.precondition(lambda self: self.granted_attempts)
     @stateful.rule(
         outcome=st.sampled_from([States.ANSWERED, States.UNKNOWN]),
-        lost=st.booleans(),
+        is_delayed=st.booleans(),
     )
-    def vm_sends(self, outcome, lost):
-        attempt = self.holding.pop()
+    def vm_sends(self, outcome, is_delayed):
+        attempt = self.granted_attempts.pop()
         self.sent.add(attempt)
         command = settle(attempt, outcome, self.now)
-        if lost:
-            self.limbo.append(command)
+        if is_delayed:
+            self.delayed.append(command)
         else:
             self._apply(command)
 
-    @stateful.precondition(lambda self: self.holding)
-    @stateful.rule(lost=st.booleans())
-    def vm_cannot_send(self, lost):
-        attempt = self.holding.pop()
+    @stateful.precondition(lambda self: self.granted_attempts)
+    @stateful.rule(is_delayed=st.booleans())
+    def vm_settles_a_granted_attempt_as_not_run(self, is_delayed):
+        attempt = self.granted_attempts.pop()
         command = settle(attempt, States.NOT_RUN, self.now)
-        self.promises.append(self.now)
-        if lost:
-            self.limbo.append(command)
+        self.not_run_answers.append(self.now)
+        if is_delayed:
+            self.delayed.append(command)
         else:
             self._apply(command)
 
@@ -199,14 +202,16 @@
         status = self._apply(claim_records.RefuseRequest("k", "d", self.now))
         if status.state is States.NOT_RUN:
             assert not self.sent
-            assert not self.holding
-            self.promises.append(self.now)
-
-    @stateful.precondition(lambda self: self.limbo)
-    @stateful.rule(data=st.data(), keep=st.booleans())
-    def lost_command_is_applied(self, data, keep):
-        index = data.draw(st.integers(0, len(self.limbo) - 1))
-        command = self.limbo[index] if keep else self.limbo.pop(index)
+            assert not self.granted_attempts
+            self.not_run_answers.append(self.now)
+
+    @stateful.precondition(lambda self: self.delayed)
+    @stateful.rule(data=st.data(), is_duplicated=st.booleans())
+    def delayed_command_is_applied(self, data, is_duplicated):
+        index = data.draw(st.integers(0, len(self.delayed) - 1))
+        command = (
+            self.delayed[index] if is_duplicated else self.delayed.pop(index)
+        )
         self._apply(command)
 
     @stateful.rule()
@@ -217,7 +222,7 @@
 
     @stateful.invariant()
     def runs_at_most_once(self):
-        assert len(self.sent) + len(self.holding) <= 1
+        assert len(self.sent) + len(self.granted_attempts) <= 1
 
 
 ClaimsMachine.TestCase.settings = hypothesis.settings(
--- a/laburnumsill/state/tests/test_durable.py
+++ b/laburnumsill/state/tests/test_durable.py
@@ -1,4 +1,4 @@
-"""Durable requests: nothing accepted is forgotten before its end."""
+"""Durable requests: an accepted request is stored until it has ended."""
 
 import pytest
 
@@ -24,7 +24,7 @@
     return replication.StateMachine(durable.DurableRequests(**limits))
 
 
-def test_accept_is_idempotent_and_keyed():
+def test_acceptance_is_idempotent_by_key():
     state = machine()
     first = state.apply(accept("k"))
     assert state.apply(accept("k", 5.0)) == first
@@ -33,7 +33,7 @@
     assert len(state.component("durable").pending) == 1
 
 
-def test_first_end_stays_and_frees_the_body():
+def test_the_first_outcome_stays_and_frees_the_body():
     state = machine()
     state.apply(accept("k"))
     state.apply(end("k"))
@@ -58,7 +58,7 @@
     state.apply(accept("c"))
 
 
-def test_pending_outlives_retention_and_ended_does_not():
+def test_records_expire_only_after_the_end_of_the_request():
     state = machine()
     state.apply(accept("a"))
     state.apply(accept("b"))
@@ -70,7 +70,7 @@
     assert state.query(durable.GetDurable("a")).state is States.SUCCEEDED
 
 
-def test_dump_and_load_keep_order_and_sizes():
+def test_snapshot_restores_order_and_sizes():
     state = machine()
     for key in ("b", "a", "c"):
         state.apply(accept(key))
