--- a/laburnumsill/state/configuration.py
+++ b/laburnumsill/state/configuration.py
@@ -1,12 +1,14 @@
-"""The configuration versions that were accepted, in the root group.
+"""The log of accepted configuration versions, in the root group.
 
-Versions count from 1. A push says which version it was made on top of; of
-pushes made on top of the same one exactly one is accepted. The answer to an
-accepted push is kept by its id, so that a resend gets it again.
+Versions count from 1. A push names the version that it is based on (its
+expected version); of several pushes based on the same version exactly one is
+accepted. The answer to an accepted push is stored by the push id, so that a
+resend gets the same answer.
 
-A push comes whole or as the difference to the version it was made on top of,
-see `config.difference`. Both are the same push: the id, the expected version
-and the digest of the whole decide, and either may be the other's resend.
+A push contains the complete configuration or its difference to the expected
+version, see `config.difference`. Both forms are the same push if the id, the
+expected version, the operator and the digest of the complete configuration
+are equal, so either form may be a resend of the other.
 """
 
 import collections
@@ -20,30 +22,31 @@
 from laburnumsill.state import configuration_versions
 
 MAX_BODY_BYTES = 1024 * 1024
-"""Largest canonical configuration."""
+"""Limit of the size of a configuration in canonical JSON."""
 
 KEPT_BODIES = 8
-"""So many of the newest versions can be read whole."""
+"""Number of the newest versions whose complete configuration is stored."""
 
 KEPT_ANSWERS = 4096
-"""The answers to so many of the newest accepted pushes are kept."""
+"""Number of the newest accepted pushes whose answers are stored."""
 
 COMPONENT_NAME = "configuration"
-"""The name of this part of the root group's state machine."""
+"""Name of this component of the root group's state machine."""
 
 
 @codec.register("configuration.push")
 @dataclasses.dataclass(frozen=True, slots=True)
 class PushConfiguration:
-    """Puts a configuration on top of an expected version.
+    """Command that pushes a complete configuration; idempotent by `push_id`.
 
     Attributes:
-        push_id: The push's own key, the same for each resend of it.
-        expected_version: The version it was made on top of, 0 for the first.
+        push_id: Idempotency key of the push, the same for each resend.
+        expected_version: The version that the push is based on, 0 for the
+            first push.
         digest: Digest of `body`.
         body: The configuration in canonical JSON.
         now: Wall time of the proposal, Unix seconds.
-        operator: Who pushes, for people.
+        operator: Name of the operator who pushes.
     """
 
     push_id: str
@@ -57,15 +60,15 @@
 @codec.register("configuration.push-difference")
 @dataclasses.dataclass(frozen=True, slots=True)
 class PushDifference:
-    """Puts a configuration on top of an expected version, as a difference.
+    """Command that pushes a configuration as a difference.
 
     Attributes:
-        push_id: As in `PushConfiguration`.
+        push_id: Idempotency key of the push, the same for each resend.
         expected_version: The version that `change` applies to.
-        digest: Digest of the whole configuration that it gives.
-        change: What makes the new configuration of the expected version.
+        digest: Digest of the complete configuration that results.
+        change: Difference from the expected version to the new one.
         now: Wall time of the proposal, Unix seconds.
-        operator: Who pushes, for people.
+        operator: Name of the operator who pushes.
     """
 
     push_id: str
@@ -82,7 +85,7 @@
 @codec.register("configuration.push-accepted")
 @dataclasses.dataclass(frozen=True, slots=True)
 class PushAccepted:
-    """The answer to an accepted push, the same for each resend."""
+    """Answer to an accepted push, the same for each resend."""
 
     version: int
     digest: str
@@ -93,13 +96,13 @@
 @codec.register("configuration.read-newest")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadNewest:
-    """Asks for the number of the newest accepted version."""
+    """Query for the number of the newest accepted version."""
 
 
 @codec.register("configuration.newest")
 @dataclasses.dataclass(frozen=True, slots=True)
 class NewestAnswer:
-    """The number of the newest accepted version, 0 before the first."""
+    """Number and digest of the newest accepted version, 0 before the first."""
 
     version: int
     digest: str
@@ -108,7 +111,7 @@
 @codec.register("configuration.read-since")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadSince:
-    """Asks for what is newer than a version, 0 for the newest whole."""
+    """Query for the update from `version`; 0 gets a complete configuration."""
 
     version: int
 
@@ -116,13 +119,13 @@
 @codec.register("configuration.read-current")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadCurrent:
-    """Asks for the newest accepted version."""
+    """Query for the newest accepted version."""
 
 
 @codec.register("configuration.current")
 @dataclasses.dataclass(frozen=True, slots=True)
 class CurrentAnswer:
-    """The newest accepted version, None before the first."""
+    """Answer with the newest accepted version, None before the first."""
 
     accepted: configuration_versions.AcceptedConfiguration | None
 
@@ -130,7 +133,7 @@
 @codec.register("configuration.read-version")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadVersion:
-    """Asks for one accepted version."""
+    """Query for one accepted version."""
 
     version: int
 
@@ -138,7 +141,7 @@
 @codec.register("configuration.answer")
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeptAnswer:
-    """What is kept of an accepted push to answer its resends."""
+    """Stored answer to an accepted push, for deduplication of resends."""
 
     push_id: str
     accepted: PushAccepted
@@ -147,9 +150,13 @@
 @codec.register("configuration.snapshot")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationSnapshot:
-    """The state of a `ConfigurationLog`.
+    """Snapshot of a `ConfigurationLog`.
 
-    A body that its difference to the one before gives is left out.
+    Attributes:
+        answers: The stored answers, the oldest first.
+        bodies: The stored versions, the oldest first; a body is empty if it
+            follows from the version before and the difference.
+        steps: The stored steps, the oldest first.
     """
 
     answers: list[KeptAnswer]
@@ -160,12 +167,13 @@
 
 
 class ConfigurationLog(replication.Component):
-    """The accepted versions and the answers to their pushes.
+    """State machine component that accepts configuration versions.
 
     Explanation:
-        `_answers` holds consecutive versions, the newest last, and `_bodies`
-        the last few of them whole. An answer is found by its push id for a
-        resend and by its version for a conflict.
+        `_answers` holds the answers to pushes of consecutive versions, the
+        newest last, and `_bodies` the complete configurations of the last
+        few of them. An answer is looked up by push id for a resend, and by
+        version for a conflict.
 
     Examples:
         >>> log = ConfigurationLog()
@@ -186,7 +194,7 @@
 
     @property
     def name(self) -> str:
-        """The key of this part in a snapshot."""
+        """The key of this component in a snapshot."""
         return COMPONENT_NAME
 
     @property
@@ -201,21 +209,21 @@
 
     @property
     def opened(self) -> configuration_versions.OpenedVersion | None:
-        """The newest accepted version with its values.
+        """The newest accepted version with its parsed body.
 
         Raises:
-            difference.UnfitDifferenceError: Its body is no JSON.
+            difference.UnfitDifferenceError: The body is not valid JSON.
         """
         if self._opened is None and self.current is not None:
             self._opened = configuration_versions.opened(self.current)
         return self._opened
 
     def commands(self) -> dict[type, replication.Handler]:
-        """Returns a handler for each command type."""
+        """Returns the handlers by command type."""
         return {PushConfiguration: self.push, PushDifference: self.push}
 
     def queries(self) -> dict[type, replication.Handler]:
-        """Returns a handler for each query type."""
+        """Returns the handlers by query type."""
         return {
             ReadCurrent: self._read_current,
             ReadNewest: self._read_newest,
@@ -224,20 +232,20 @@
         }
 
     def push(self, command: Push) -> PushAccepted:
-        """Accepts a push made on top of the newest version.
+        """Accepts a push that is based on the newest version.
 
         Raises:
             errors.VersionConflictError: The expected version is not the
-                newest; the context tells what was accepted on top of it.
+                newest; the error's context has its accepted successor.
             errors.KeyReusedError: Another push had the same id.
             errors.InvalidConfigurationError: The body is too large or does
                 not match its digest.
-            difference.UnfitDifferenceError: The difference does not give the
-                promised digest on the version it was made on top of.
+            difference.UnfitDifferenceError: The difference does not apply to
+                the expected version or does not result in the digest.
         """
         known = self._by_push.get(command.push_id)
         if known is not None:
-            return _same_push(known, command)
+            return _answer_resend(known, command)
         if isinstance(command, PushConfiguration):
             _check_body(command.body, command.digest)
         if command.expected_version != self.version:
@@ -245,14 +253,14 @@
         accepted = PushAccepted(
             self.version + 1, command.digest, command.operator, command.now
         )
-        self._add(command, accepted)
-        self._keep(command.push_id, accepted)
+        self._add_version(command, accepted)
+        self._store_answer(command.push_id, accepted)
         return accepted
 
     def read_since(
         self, query: ReadSince
     ) -> configuration_versions.ConfigurationUpdate:
-        """Returns what leads from a version to the newest."""
+        """Returns the update from a version to the newest one."""
         return configuration_versions.update_since(
             query.version, self.current, self._steps
         )
@@ -260,7 +268,7 @@
     def steps_since(
         self, version: int
     ) -> list[configuration_versions.VersionStep] | None:
-        """Returns the steps after `version`, None if not all are kept."""
+        """Returns the steps after `version`, None if not all are stored."""
         return self._steps.since(version)
 
     def read_version(
@@ -269,8 +277,8 @@
         """Returns one version.
 
         Raises:
-            errors.NotFoundError: It was never accepted, or is not kept whole
-                any more.
+            errors.NotFoundError: The version was not accepted, or is older
+                than the `KEPT_BODIES` newest ones.
         """
         for accepted in self._bodies:
             if accepted.version == query.version:
@@ -288,7 +296,7 @@
         return codec.encode(
             ConfigurationSnapshot(
                 list(self._answers),
-                configuration_versions.without_given_bodies(self._bodies),
+                configuration_versions.omit_derivable_bodies(self._bodies),
                 self._steps.all(),
             )
         )
@@ -301,7 +309,7 @@
             answer.push_id: answer.accepted for answer in snapshot.answers
         }
         self._bodies = collections.deque(
-            configuration_versions.with_given_bodies(snapshot.bodies),
+            configuration_versions.restore_bodies(snapshot.bodies),
             maxlen=KEPT_BODIES,
         )
         self._steps = configuration_versions.Steps(snapshot.steps)
@@ -314,8 +322,13 @@
         digest = self.current.digest if self.current else ""
         return NewestAnswer(self.version, digest)
 
-    def _add(self, command: Push, accepted: PushAccepted) -> None:
-        """Adds the pushed version, unless its difference does not fit."""
+    def _add_version(self, command: Push, accepted: PushAccepted) -> None:
+        """Adds the pushed version.
+
+        Raises:
+            difference.UnfitDifferenceError: The difference does not apply.
+            errors.InvalidConfigurationError: The resulting body is too large.
+        """
         if isinstance(command, PushConfiguration):
             self._add_whole(command, accepted)
             return
@@ -350,38 +363,39 @@
             )
         )
 
-    def _keep(self, push_id: str, accepted: PushAccepted) -> None:
-        """Keeps the answer to a push for its resends."""
+    def _store_answer(self, push_id: str, accepted: PushAccepted) -> None:
+        """Stores the answer to a push for its resends."""
         self._answers.append(KeptAnswer(push_id, accepted))
         self._by_push[push_id] = accepted
         if len(self._answers) > KEPT_ANSWERS:
             del self._by_push[self._answers.popleft().push_id]
 
     def _conflict(self, command: Push) -> errors.LaburnumsillError:
-        """Returns the error that names what was accepted instead.
+        """Returns the conflict error for a refused push.
 
-        It is the version on top of the expected one while that is kept, so
-        that a resend gets the same error, and else the newest.
+        The error names the successor of the expected version while its answer
+        is stored, so that a resend gets the same error, and otherwise the
+        newest version.
         """
-        winner = self._on_top_of(command.expected_version)
-        said = f"expected version {command.expected_version}"
-        if winner is None:
+        successor = self._successor_or_newest(command.expected_version)
+        expected = f"expected version {command.expected_version}"
+        if successor is None:
             return errors.VersionConflictError(
-                f"{said}, but none was accepted yet",
+                f"{expected}, but none was accepted yet",
                 expected_version=command.expected_version,
                 version=0,
             )
         return errors.VersionConflictError(
-            f"{said}, but version {winner.version}"
-            f" of {winner.operator} was accepted",
+            f"{expected}, but version {successor.version}"
+            f" of {successor.operator} was accepted",
             expected_version=command.expected_version,
-            version=winner.version,
-            digest=winner.digest,
-            operator=winner.operator,
+            version=successor.version,
+            digest=successor.digest,
+            operator=successor.operator,
             newest_version=self.version,
         )
 
-    def _on_top_of(self, version: int) -> PushAccepted | None:
+    def _successor_or_newest(self, version: int) -> PushAccepted | None:
         if not self._answers:
             return None
         offset = version + 1 - self._answers[0].accepted.version
@@ -390,8 +404,12 @@
         return self._answers[-1].accepted
 
 
-def _same_push(known: PushAccepted, command: Push) -> PushAccepted:
-    """Returns the kept answer if `command` is a resend of the same push."""
+def _answer_resend(known: PushAccepted, command: Push) -> PushAccepted:
+    """Returns the stored answer to a resend of the same push.
+
+    Raises:
+        errors.KeyReusedError: `command` is another push with the same id.
+    """
     same = (
         known.digest == command.digest
         and known.operator == command.operator
--- a/laburnumsill/state/configuration_versions.py
+++ b/laburnumsill/state/configuration_versions.py
@@ -1,7 +1,7 @@
-"""Accepted configuration versions, and how to get from one to a newer one.
+"""Accepted configuration versions, and the updates from one to the newest.
 
-A VM that has one of the versions before gets the differences that lead to the
-newest in place of a whole configuration.
+A VM that has a recent version gets the differences to the newest one instead
+of a complete configuration.
 """
 
 import collections
@@ -12,10 +12,10 @@
 from laburnumsill.core import codec
 
 KEPT_STEPS = 64
-"""The differences of so many of the newest versions are kept."""
+"""Number of the newest versions whose differences are stored."""
 
 KEPT_STEP_BYTES = 512 * 1024
-"""Largest sum of the sizes of the kept differences."""
+"""Limit of the total size of the stored differences."""
 
 
 @codec.register("configuration.step")
@@ -24,11 +24,11 @@
     """An accepted version as its difference to the version before.
 
     Attributes:
-        version: The version that it leads to.
-        digest: The digest of that version's body.
-        operator: Who pushed it.
-        accepted_at: When it was proposed, Unix seconds.
-        change: What makes its body of the one before.
+        version: The version that results from the step.
+        digest: Digest of the resulting body.
+        operator: Name of the operator who pushed the version.
+        accepted_at: Wall time of the proposal, Unix seconds.
+        change: Difference from the body of the version before.
     """
 
     version: int
@@ -41,15 +41,16 @@
 @codec.register("configuration.accepted")
 @dataclasses.dataclass(frozen=True, slots=True)
 class AcceptedConfiguration:
-    """An accepted version, whole.
+    """An accepted version with its complete configuration.
 
     Attributes:
-        version: Its number.
+        version: The version number.
         digest: Digest of `body`.
-        operator: Who pushed it.
-        accepted_at: When it was proposed, Unix seconds.
+        operator: Name of the operator who pushed the version.
+        accepted_at: Wall time of the proposal, Unix seconds.
         body: The configuration in canonical JSON.
-        change: What makes `body` of the version before, None if not known.
+        change: Difference from the body of the version before, None if not
+            known.
     """
 
     version: int
@@ -76,12 +77,12 @@
 @codec.register("configuration.update")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfigurationUpdate:
-    """What leads from an asker's version to the newest known one.
+    """Update from a requester's version to the newest known version.
 
     Attributes:
-        whole: The newest version whole, None if `steps` lead to it or the
-            asker has it.
-        steps: Consecutive, the first one from the asker's version.
+        whole: The complete newest version, None if `steps` lead to it or the
+            requester has it.
+        steps: Consecutive steps, the first one from the requester's version.
     """
 
     whole: AcceptedConfiguration | None = None
@@ -89,7 +90,7 @@
 
 
 class Steps:
-    """The steps to the newest version, consecutive and bounded.
+    """Bounded queue of consecutive steps to the newest version.
 
     Examples:
         >>> steps = Steps()
@@ -109,7 +110,7 @@
             self.add(step)
 
     def add(self, step: VersionStep) -> None:
-        """Adds a step; those before a gap are dropped."""
+        """Adds a step; drops all steps before a gap in the versions."""
         if self._steps and step.version != self._steps[-1].version + 1:
             self.clear()
         self._steps.append(step)
@@ -118,16 +119,16 @@
             self._size -= self._steps.popleft().change.size
 
     def clear(self) -> None:
-        """Drops all, since the newest version has no difference."""
+        """Drops all steps, for a newest version without a difference."""
         self._steps.clear()
         self._size = 0
 
     def all(self) -> list[VersionStep]:
-        """Returns all kept steps, the oldest first."""
+        """Returns all stored steps, the oldest first."""
         return list(self._steps)
 
     def since(self, version: int) -> list[VersionStep] | None:
-        """Returns the steps after `version`, None if not all are kept."""
+        """Returns the steps after `version`, None if not all are stored."""
         if not self._steps or version + 1 < self._steps[0].version:
             return None
         return [step for step in self._steps if step.version > version]
@@ -138,33 +139,42 @@
     current: AcceptedConfiguration | None,
     steps: Steps,
 ) -> ConfigurationUpdate:
-    """Returns what leads from a version to the current one.
+    """Returns the update from a version to the current version.
+
+    The steps are returned if they are smaller than the complete
+    configuration.
 
     Args:
-        version: What the asker has, 0 to get the current one whole.
+        version: The requester's version, 0 to get the complete current version.
         current: The newest known version, None if there is none.
         steps: The steps to the current version.
     """
     if current is None or current.version <= version:
         return ConfigurationUpdate()
-    found = steps.since(version) if version else None
-    if found and sum(one.change.size for one in found) < len(current.body):
-        return ConfigurationUpdate(steps=found)
+    recent = steps.since(version) if version else None
+    if recent and sum(step.change.size for step in recent) < len(current.body):
+        return ConfigurationUpdate(steps=recent)
     return ConfigurationUpdate(whole=current)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OpenedVersion:
-    """An accepted version with its values at hand, to lead on from."""
+    """An accepted version with its parsed body, to apply steps to.
+
+    Attributes:
+        accepted: The version.
+        document: The parsed body.
+    """
 
     accepted: AcceptedConfiguration
     document: difference.Document
 
     def after(self, step: VersionStep) -> "OpenedVersion":
-        """Returns the version that a step leads to.
+        """Returns the version that results from a step.
 
         Raises:
-            difference.UnfitDifferenceError: It does not lead on from here.
+            difference.UnfitDifferenceError: The step does not apply to this
+                version.
         """
         if step.version != self.accepted.version + 1:
             raise difference.UnfitDifferenceError(
@@ -184,18 +194,22 @@
 
 
 def opened(accepted: AcceptedConfiguration) -> OpenedVersion:
-    """Returns a version with its values.
+    """Returns a version with its parsed body.
 
     Raises:
-        difference.UnfitDifferenceError: Its body is no JSON.
+        difference.UnfitDifferenceError: The body is not valid JSON.
     """
     return OpenedVersion(accepted, difference.Document.parse(accepted.body))
 
 
-def without_given_bodies(
+def omit_derivable_bodies(
     bodies: abc.Iterable[AcceptedConfiguration],
 ) -> list[AcceptedConfiguration]:
-    """Returns versions, with empty bodies where the one before gives it."""
+    """Returns the versions without the bodies that `restore_bodies` derives.
+
+    The body of each version but the first is replaced by an empty one if it
+    follows from the version before and the difference.
+    """
     packed: list[AcceptedConfiguration] = []
     for accepted in bodies:
         if packed and accepted.change is not None:
@@ -204,10 +218,10 @@
     return packed
 
 
-def with_given_bodies(
+def restore_bodies(
     packed: abc.Iterable[AcceptedConfiguration],
 ) -> list[AcceptedConfiguration]:
-    """Returns the versions that `without_given_bodies` was given."""
+    """Returns the versions that were passed to `omit_derivable_bodies`."""
     bodies: list[AcceptedConfiguration] = []
     before: OpenedVersion | None = None
     for accepted in packed:
--- a/laburnumsill/state/highest_version.py
+++ b/laburnumsill/state/highest_version.py
@@ -1,12 +1,14 @@
-"""The configuration document whose version is the highest seen.
+"""The configuration document with the highest version.
 
-For sites whose operators number their configurations themselves: a higher
-version replaces the one held, a lower one is acknowledged and has no effect,
-the one held may be sent again, and other content under its number is refused.
+For sites whose operators number their configurations themselves. The stored
+document is replaced by one with a higher version; a lower version is
+acknowledged and has no effect. The stored document may be sent again, and
+another document with the same version is refused.
 
-Documents are kept and sent compressed: a tenth of their size, for the log, the
-disk, the snapshots and the links of the small VMs. These take one in parts, so
-that no part takes long on a slow link.
+Documents are stored and sent compressed, to a tenth of their size, for the
+log, the disk, the snapshots and the links of the small VMs. These VMs
+download a document in parts, so that no answer exceeds the call timeout on a
+slow link.
 """
 
 import zlib
@@ -18,27 +20,27 @@
 from laburnumsill.core import replication
 
 PART_BYTES = 16 * 1024
-"""Most compressed bytes in one answer: 0.07 s on a link of 2 Mbit/s, the
-slowest of the users' VMs, where an answer is waited for 0.3 s."""
+"""Limit of the compressed bytes in one answer: 0.07 s on a link of 2 Mbit/s,
+the slowest link of the users' VMs, where the call timeout is 0.3 s."""
 
 NO_VERSION = -1
 """The version of a document before the first one."""
 
 
 class VersionTakenError(errors.ConflictError):
-    """Another document holds this version."""
+    """Another document has this version."""
 
     slug = "version-taken"
     title = "Another configuration has this version"
 
 
 def pack(document: bytes) -> bytes:
-    """Returns a document compressed."""
+    """Returns the compressed document."""
     return zlib.compress(document)
 
 
 def unpack(packed: bytes) -> bytes:
-    """Returns the document that was compressed.
+    """Returns the document that `pack` compressed.
 
     Examples:
         >>> unpack(pack(b"a = 1"))
@@ -49,7 +51,7 @@
 
 @codec.register("highest-version.put")
 class PutDocument(msgspec.Struct, frozen=True):
-    """Puts a document, compressed, in force if its version is the highest."""
+    """Command that puts a document in force if its version is the highest."""
 
     version: int
     packed: bytes
@@ -57,14 +59,14 @@
 
 @codec.register("highest-version.put-answer")
 class PutAnswer(msgspec.Struct, frozen=True):
-    """The version that is in force after a put."""
+    """Answer with the version that is in force after a `PutDocument`."""
 
     version_in_force: int
 
 
 @codec.register("highest-version.query")
 class DocumentQuery(msgspec.Struct, frozen=True):
-    """Asks for the whole document in force."""
+    """Query for the complete document in force."""
 
 
 @codec.register("highest-version.document")
@@ -72,8 +74,8 @@
     """The document in force.
 
     Attributes:
-        version: Its version, `NO_VERSION` before the first one.
-        packed: It, compressed; empty before the first one.
+        version: Version of the document, `NO_VERSION` before the first one.
+        packed: The compressed document; empty before the first one.
     """
 
     version: int = NO_VERSION
@@ -82,12 +84,12 @@
 
 @codec.register("highest-version.part-query")
 class PartQuery(msgspec.Struct, frozen=True):
-    """Asks for the next part of the document in force.
+    """Query for the next part of the document in force.
 
     Attributes:
-        known_version: The version that the asker has whole.
-        begun_version: A newer version of which it has the beginning.
-        begun_bytes: So many compressed bytes of it.
+        known_version: The version that the requester has completely.
+        begun_version: A newer version that the requester has in part.
+        begun_bytes: Compressed bytes of that version received so far.
     """
 
     known_version: int = NO_VERSION
@@ -100,10 +102,10 @@
     """A part of the document in force.
 
     Attributes:
-        version: Of the document in force.
-        size: Of the whole document, compressed, in bytes.
-        offset: Where the part begins.
-        packed: The part; empty if the asker has the document whole.
+        version: Version of the document in force.
+        size: Size of the complete compressed document in bytes.
+        offset: Offset of the part in the compressed document.
+        packed: The part; empty if the requester has the complete document.
     """
 
     version: int
@@ -113,78 +115,79 @@
 
 
 class HighestVersion(replication.Component):
-    """Holds one document.
+    """State machine component that holds the document in force.
 
     Examples:
-        >>> held = HighestVersion()
-        >>> held.put(PutDocument(7, pack(b"a"))).version_in_force
+        >>> component = HighestVersion()
+        >>> component.put(PutDocument(7, pack(b"a"))).version_in_force
         7
-        >>> held.put(PutDocument(5, pack(b"b"))).version_in_force
+        >>> component.put(PutDocument(5, pack(b"b"))).version_in_force
         7
-        >>> held.part(PartQuery(known_version=5)).offset
+        >>> component.part(PartQuery(known_version=5)).offset
         0
-        >>> held.part(PartQuery(known_version=7)).packed
+        >>> component.part(PartQuery(known_version=7)).packed
         b''
     """
 
     name = "highest-version"
 
     def __init__(self) -> None:
-        self._held = Document()
+        self._document = Document()
 
     @property
     def held(self) -> Document:
         """The document in force."""
-        return self._held
+        return self._document
 
     def put(self, command: PutDocument) -> PutAnswer:
-        """Takes a document, see the module.
+        """Puts a document in force if its version is the highest.
 
         Raises:
-            VersionTakenError: The version held has other content.
+            VersionTakenError: The document in force has the same version and
+                other content.
         """
-        held = self._held
-        if command.version == held.version:
-            if not _same(command.packed, held.packed):
+        document = self._document
+        if command.version == document.version:
+            if not _same_document(command.packed, document.packed):
                 raise VersionTakenError(
-                    f"version {held.version} holds another document",
-                    version=held.version,
+                    f"version {document.version} holds another document",
+                    version=document.version,
                 )
-        elif command.version > held.version:
-            self._held = Document(command.version, command.packed)
-        return PutAnswer(self._held.version)
+        elif command.version > document.version:
+            self._document = Document(command.version, command.packed)
+        return PutAnswer(self._document.version)
 
     def query(self, query: DocumentQuery) -> Document:
-        """Returns the document whole."""
-        return self._held
+        """Returns the complete document."""
+        return self._document
 
     def part(self, query: PartQuery) -> Part:
-        """Returns what comes next of the document for the asker."""
-        held = self._held
-        if query.known_version == held.version:
-            return Part(held.version)
-        begun = query.begun_version == held.version
-        offset = query.begun_bytes if begun else 0
-        piece = held.packed[offset : offset + PART_BYTES]
-        return Part(held.version, len(held.packed), offset, piece)
+        """Returns the next part of the document for the requester."""
+        document = self._document
+        if query.known_version == document.version:
+            return Part(document.version)
+        resumes = query.begun_version == document.version
+        offset = query.begun_bytes if resumes else 0
+        packed_part = document.packed[offset : offset + PART_BYTES]
+        return Part(document.version, len(document.packed), offset, packed_part)
 
     def dump(self) -> bytes:
         """Returns the document, encoded."""
-        return codec.encode(self._held)
+        return codec.encode(self._document)
 
     def load(self, raw: bytes) -> None:
         """Replaces the document by one that `dump` returned."""
-        self._held = codec.decode(raw)
+        self._document = codec.decode(raw)
 
     def commands(self) -> dict[type, replication.Handler]:
-        """Returns the handler of puts."""
+        """Returns the handlers by command type."""
         return {PutDocument: self.put}
 
     def queries(self) -> dict[type, replication.Handler]:
-        """Returns the handlers of queries."""
+        """Returns the handlers by query type."""
         return {DocumentQuery: self.query, PartQuery: self.part}
 
 
-def _same(packed: bytes, other: bytes) -> bool:
-    """Whether two documents are equal, maybe compressed differently."""
+def _same_document(packed: bytes, other: bytes) -> bool:
+    """Returns whether two documents are equal after decompression."""
     return packed == other or unpack(packed) == unpack(other)
--- a/laburnumsill/state/tests/test_configuration.py
+++ b/laburnumsill/state/tests/test_configuration.py
@@ -15,7 +15,7 @@
     )
 
 
-def test_a_refused_push_names_the_winner_also_later():
+def test_the_conflict_error_of_a_resent_push_names_the_same_version():
     log = configuration.ConfigurationLog()
     log.push(push("a", 0, b"1", "ann"))
     for _ in range(2):
@@ -31,7 +31,7 @@
     "other",
     [push("a", 0, b"2"), push("a", 1, b"1"), push("a", 0, b"1", "ben")],
 )
-def test_the_same_key_with_another_push_is_refused(other):
+def test_another_push_with_the_same_id_is_refused(other):
     log = configuration.ConfigurationLog()
     log.push(push("a", 0, b"1"))
     with pytest.raises(errors.KeyReusedError):
@@ -39,7 +39,7 @@
     assert log.version == 1
 
 
-def test_a_body_that_is_damaged_or_too_large_is_refused():
+def test_a_body_with_a_wrong_digest_or_too_many_bytes_is_refused():
     log = configuration.ConfigurationLog()
     good = push("a", 0, b"1")
     damaged = configuration.PushConfiguration(
@@ -55,7 +55,7 @@
         log.read_version(configuration.ReadVersion(1))
 
 
-def test_history_is_bounded_and_survives_a_snapshot(monkeypatch):
+def test_stored_versions_and_answers_are_bounded_and_restored(monkeypatch):
     monkeypatch.setattr(configuration, "KEPT_ANSWERS", 20)
     log = configuration.ConfigurationLog()
     first = [log.push(push(f"k{n}", n, b"%d" % n)) for n in range(50)]
@@ -72,7 +72,7 @@
 
 
 class Race(stateful.RuleBasedStateMachine):
-    """Operators race; commands arrive late, twice and in any order."""
+    """Concurrent pushes; commands are delayed, duplicated and reordered."""
 
     def __init__(self):
         super().__init__()
@@ -101,7 +101,9 @@
         except errors.VersionConflictError as error:
             assert command.expected_version != before
             assert self.log.version == before
-            self.same(command, (error.detail, error.context["version"]))
+            self.check_same_answer(
+                command, (error.detail, error.context["version"])
+            )
             return
         if command.push_id not in self.answers:
             assert answer.version == before + 1
@@ -109,9 +111,9 @@
             self.accepted[answer.version] = command
         else:
             assert self.log.version == before
-        self.same(command, answer)
+        self.check_same_answer(command, answer)
 
-    def same(self, command, answer):
+    def check_same_answer(self, command, answer):
         if command.expected_version < self.log.version:
             first = self.answers.setdefault(command.push_id, answer)
             assert first == answer
@@ -123,7 +125,7 @@
         self.log = fresh
 
     @stateful.invariant()
-    def one_winner_each(self):
+    def each_version_is_accepted_once(self):
         assert sorted(self.accepted) == list(range(1, self.log.version + 1))
         expected = [one.expected_version for one in self.accepted.values()]
         assert len(set(expected)) == len(expected)
