--- a/laburnumsill/state/cells.py
+++ b/laburnumsill/state/cells.py
@@ -1,18 +1,19 @@
-"""Guarantees as cells, and whether each can still be restored.
+"""Guarantees of accounts as cells, and the binding of cells to hardware.
 
-A cell is a whole rack, a whole worker, an aligned pair of accelerators on a
-worker, or one accelerator. Cells split and merge as buddies: two
-accelerators make a pair, pairs make a worker, workers make a rack.
+A cell is a complete rack, a complete worker, an aligned pair of accelerators
+on a worker, or one accelerator. Cells split and merge as in a buddy
+allocator: two accelerators make a pair, pairs make a worker, workers make a
+rack.
 
-An account's guarantee is a number of cells of each level. While the account
-does not use a cell it is unbound: it is owed, but it is no particular
-hardware. When a guaranteed job needs it, it is bound to a physical cell of
-its level, in which only that account's guaranteed jobs, and borrowers, may
-sit, and it is unbound when the last of these jobs has left it.
+An account's guarantee is a number of cells of each level. A guaranteed cell
+that the account does not use is unbound: no particular hardware belongs to
+it. When a guaranteed job needs the cell, it is bound to a physical cell of its
+level. On a bound cell, only guaranteed jobs of its account and borrowing jobs
+may be placed. The cell is unbound when the last of these guaranteed jobs has
+been released.
 
-The invariant: with borrowers counted as absent, the physical cells that are
-not bound suffice for all unbound ones. A binding that would make this worse
-is refused.
+Invariant: without the borrowing jobs, the unbound hardware suffices for all
+unbound cells. A binding that would increase the shortfall is refused.
 
 References:
     H. Zhao et al., "HiveD: Sharing a GPU Cluster for Deep Learning with
@@ -32,7 +33,7 @@
 from laburnumsill.state import workers
 
 Numbers = tuple[int, int, int, int]
-"""A number of cells for each level, in the order of `Level`."""
+"""Number of cells of each level, in the order of `Level`."""
 
 NO_CELLS: Numbers = (0, 0, 0, 0)
 
@@ -50,7 +51,7 @@
 
 
 class GuaranteeError(errors.ConflictError):
-    """A binding that some guarantee does not allow."""
+    """A binding that the guarantees do not allow."""
 
     slug = "guarantee"
     title = "A guarantee does not allow it"
@@ -58,13 +59,15 @@
 
 @dataclasses.dataclass(slots=True)
 class RackSupply:
-    """What a rack offers to unbound cells.
+    """Unbound hardware of a rack.
 
     Attributes:
-        whole: Whether nothing of it is bound or unusable.
-        sizes: Number of wholly unbound workers by accelerators.
-        pairs: Aligned unbound pairs, those of whole workers included.
-        accelerators: Unbound accelerators, all of them.
+        whole: Whether the rack is unbound and usable as a whole.
+        sizes: Number of workers without a bound accelerator, by their number
+            of accelerators.
+        pairs: Number of aligned unbound pairs, including those of whole
+            workers.
+        accelerators: Number of all unbound accelerators.
     """
 
     whole: bool = False
@@ -74,11 +77,11 @@
 
 
 class CellBook:
-    """The guarantees of a domain, what is bound, and what is left for it.
+    """The guarantees of a domain, the bound cells and the unbound hardware.
 
     Attributes:
-        guarantees: Cells owed to each account.
-        bound: The physical cells that each account uses.
+        guarantees: Number of cells guaranteed to each account.
+        bound: The physical cells bound to each account.
     """
 
     def __init__(self, pool: jobs_pool.Pool) -> None:
@@ -86,110 +89,111 @@
         self.bound: dict[str, list[Cell]] = {}
         self._pool = pool
         self._unbound: dict[str, Numbers] = {}
-        self._demand = [0, 0, 0, 0]
+        self._unbound_total = [0, 0, 0, 0]
         self._rack_owner: dict[str, str] = {}
         self._owned: dict[str, dict[str, int]] = {}
         self._supply: dict[str, RackSupply] = {}
-        self._whole = sortedcontainers.SortedList()
+        self._whole_racks = sortedcontainers.SortedList()
         self._sizes: collections.Counter[int] = collections.Counter()
         self._pairs = 0
         self._accelerators = 0
 
     def set_guarantees(self, guarantees: dict[str, Numbers]) -> None:
-        """Replaces what is owed; cells in use stay bound."""
+        """Replaces the guarantees; bound cells stay bound."""
         self.guarantees = dict(guarantees)
-        self._recount()
+        self._recount_unbound()
 
     def unbound(self, account: str) -> Numbers:
-        """Returns how many cells of each level the account is still owed."""
+        """Returns the account's number of unbound cells of each level."""
         return self._unbound.get(account, NO_CELLS)
 
     def demand(self) -> Numbers:
-        """Returns the unbound cells of all accounts together."""
-        return _numbers(self._demand)
+        """Returns the total number of unbound cells of each level."""
+        return _numbers(self._unbound_total)
 
-    def _recount(self) -> None:
+    def _recount_unbound(self) -> None:
         self._unbound = {}
-        self._demand = [0, 0, 0, 0]
+        self._unbound_total = [0, 0, 0, 0]
         for account in self.guarantees:
-            self._count_unbound(account)
+            self._update_unbound(account)
 
-    def _count_unbound(self, account: str) -> None:
-        """Brings what is unbound up to date after a change of an account."""
-        owed = list(self.guarantees.get(account, NO_CELLS))
+    def _update_unbound(self, account: str) -> None:
+        """Updates the unbound cells after a change of an account's cells."""
+        remaining = list(self.guarantees.get(account, NO_CELLS))
         for cell in self.bound.get(account, ()):
-            owed[cell.level] -= 1
-        before = self.unbound(account)
-        now = _numbers(max(0, number) for number in owed)
-        self._unbound[account] = now
+            remaining[cell.level] -= 1
+        old = self.unbound(account)
+        new = _numbers(max(0, number) for number in remaining)
+        self._unbound[account] = new
         for level in Level:
-            self._demand[level] += now[level] - before[level]
+            self._unbound_total[level] += new[level] - old[level]
 
     def shortfall(self) -> int:
-        """Returns how many accelerators are missing to restore everything.
+        """Returns how many accelerators are missing for all unbound cells.
 
-        The smallest whole racks and then the smallest whole workers go to
-        those owed racks and workers; what is left splits into pairs and
-        accelerators. For workers of one size no other choice does better.
+        The smallest whole racks are assigned to the unbound racks, then the
+        smallest whole workers to the unbound workers; the remaining hardware
+        is split into pairs and single accelerators. This greedy assignment is
+        optimal if all workers have the same size.
         """
-        racks, whole, pairs, singles = reversed(self.demand())
+        racks, whole_workers, pairs, singles = reversed(self.demand())
         sizes = self._sizes.copy()
         free_pairs = self._pairs
         free = self._accelerators
         missing = 0
-        for _, name in self._whole[:racks]:
+        for _, name in self._whole_racks[:racks]:
             supply = self._supply[name]
             sizes.subtract(supply.sizes)
             free_pairs -= supply.pairs
             free -= supply.accelerators
-        lacking = racks - len(self._whole)
-        if lacking > 0:
-            missing += lacking * self._typical_rack()
+        missing_racks = racks - len(self._whole_racks)
+        if missing_racks > 0:
+            missing += missing_racks * self._largest_rack()
         for size in sorted(sizes):
-            taken = min(whole, sizes[size])
-            whole -= taken
-            free_pairs -= taken * (size // 2)
-            free -= taken * size
-        missing += whole * max(self._sizes, default=1)
+            assigned = min(whole_workers, sizes[size])
+            whole_workers -= assigned
+            free_pairs -= assigned * (size // 2)
+            free -= assigned * size
+        missing += whole_workers * max(self._sizes, default=1)
         missing += 2 * max(0, pairs - free_pairs)
         free -= 2 * min(pairs, free_pairs)
         return missing + max(0, singles - free)
 
     def owned_mask(self, account: str, worker_id: str) -> int:
-        """Returns the accelerators of a worker in cells of an account."""
+        """Returns the mask of a worker's accelerators in an account's cells."""
         return self._owned.get(worker_id, {}).get(account, 0)
 
     def bound_mask(self, worker_id: str) -> int:
-        """Returns the accelerators of a worker in cells of any account."""
+        """Returns the mask of a worker's accelerators in bound cells."""
         return _union(self._owned.get(worker_id, {}).values())
 
     def supply(self, rack: str) -> RackSupply:
-        """Returns what a rack offers to unbound cells."""
+        """Returns the unbound hardware of a rack."""
         return self._supply.get(rack, RackSupply())
 
     def bind(self, account: str, cells: abc.Sequence[Cell]) -> None:
         """Binds cells to an account.
 
         Raises:
-            GuaranteeError: A cell is not whole and unbound, the account is
-                not owed it, or another guarantee could not be restored any
-                more. Nothing has changed then.
+            GuaranteeError: A cell is not whole and unbound, the account has
+                no unbound cell of its level, or the binding would increase
+                the shortfall. No cell was bound.
         """
         before = self.shortfall()
-        done: list[Cell] = []
+        bound_cells: list[Cell] = []
         try:
             for cell in cells:
-                self._check(account, cell)
-                self._add(account, cell)
-                done.append(cell)
-            if done and self.shortfall() > before:
+                self._check_binding(account, cell)
+                self._add_cell(account, cell)
+                bound_cells.append(cell)
+            if bound_cells and self.shortfall() > before:
                 raise GuaranteeError(
                     f"binding {cells} to {account!r} would leave other"
                     " guarantees without whole cells"
                 )
         except GuaranteeError:
-            for cell in reversed(done):
-                self._remove(account, cell)
+            for cell in reversed(bound_cells):
+                self._remove_cell(account, cell)
             raise
 
     def allows(self, account: str, cells: abc.Sequence[Cell]) -> bool:
@@ -199,19 +203,19 @@
         except GuaranteeError:
             return False
         for cell in cells:
-            self._remove(account, cell)
+            self._remove_cell(account, cell)
         return True
 
     def unbind(self, account: str, cell: Cell) -> None:
-        """Gives a cell back, so that it is owed again."""
-        self._remove(account, cell)
+        """Unbinds a cell; it counts as unbound in the guarantee again."""
+        self._remove_cell(account, cell)
 
     def forget_worker(self, worker_id: str) -> None:
-        """Forgets a worker that has left, with nothing on it."""
+        """Removes a worker that has left and has no tasks."""
         self._owned.pop(worker_id, None)
 
     def covers(self, cell: Cell, worker_id: str, mask: int) -> bool:
-        """Returns whether a cell has some of a worker's accelerators."""
+        """Returns whether a cell contains some of a worker's accelerators."""
         if cell.level == Level.RACK:
             worker = self._pool.workers.get(worker_id)
             return worker is not None and worker.announced.rack == cell.rack
@@ -220,36 +224,36 @@
         return cell.level == Level.WORKER or bool(cell.mask & mask)
 
     def load(self, bound: dict[str, list[Cell]]) -> None:
-        """Replaces what is bound, without checks, after a snapshot."""
+        """Replaces the bound cells by those of a snapshot, unchecked."""
         self.bound = {}
-        self._recount()
+        self._recount_unbound()
         self._owned = {}
         self._rack_owner = {}
         for account, cells in bound.items():
             for cell in cells:
-                self._add(account, cell)
+                self._add_cell(account, cell)
         for rack in list(self._pool.racks):
             self.refresh(rack)
 
     def refresh(self, rack: str) -> None:
-        """Brings the supply up to date after a change of a rack's workers."""
+        """Updates the supply after a change of a rack's workers or cells."""
         owner = self._rack_owner.get(rack)
         present = self._pool.racks.get(rack)
         if owner is not None and present is not None:
             for worker_id, worker in present.workers.items():
                 self._owned[worker_id] = {owner: worker.full_mask}
-        self._forget(rack)
+        self._remove_supply(rack)
         if present is None:
             return
-        supply = self._count(present)
+        supply = self._count_supply(present)
         self._supply[rack] = supply
         self._sizes.update(supply.sizes)
         self._pairs += supply.pairs
         self._accelerators += supply.accelerators
         if supply.whole:
-            self._whole.add((supply.accelerators, rack))
+            self._whole_racks.add((supply.accelerators, rack))
 
-    def _forget(self, rack: str) -> None:
+    def _remove_supply(self, rack: str) -> None:
         old = self._supply.pop(rack, None)
         if old is None:
             return
@@ -257,9 +261,9 @@
         self._pairs -= old.pairs
         self._accelerators -= old.accelerators
         if old.whole:
-            self._whole.remove((old.accelerators, rack))
+            self._whole_racks.remove((old.accelerators, rack))
 
-    def _count(self, rack: jobs_pool.Rack) -> RackSupply:
+    def _count_supply(self, rack: jobs_pool.Rack) -> RackSupply:
         supply = RackSupply(whole=True)
         for worker_id, worker in rack.workers.items():
             size = worker.announced.accelerators
@@ -278,7 +282,7 @@
         supply.whole = supply.whole and supply.accelerators > 0
         return supply
 
-    def _check(self, account: str, cell: Cell) -> None:
+    def _check_binding(self, account: str, cell: Cell) -> None:
         if not self.unbound(account)[cell.level]:
             raise GuaranteeError(f"{account!r} is owed no more {cell}")
         if not self._is_unbound(cell):
@@ -298,41 +302,41 @@
         inside = bool(mask) and not mask & ~worker.full_mask
         return inside and not mask & self.bound_mask(cell.worker_id)
 
-    def _add(self, account: str, cell: Cell) -> None:
+    def _add_cell(self, account: str, cell: Cell) -> None:
         self.bound.setdefault(account, []).append(cell)
-        self._count_unbound(account)
+        self._update_unbound(account)
         if cell.level == Level.RACK:
             self._rack_owner[cell.rack] = account
         else:
-            self._mark(account, cell)
+            self._add_owned_mask(account, cell)
         self.refresh(cell.rack)
 
-    def _remove(self, account: str, cell: Cell) -> None:
+    def _remove_cell(self, account: str, cell: Cell) -> None:
         self.bound[account].remove(cell)
         if not self.bound[account]:
             del self.bound[account]
-        self._count_unbound(account)
+        self._update_unbound(account)
         if cell.level == Level.RACK:
             del self._rack_owner[cell.rack]
             rack = self._pool.racks.get(cell.rack)
             for worker_id in rack.workers if rack else ():
                 self._owned.pop(worker_id, None)
         else:
-            self._remark(account, cell.worker_id)
+            self._recompute_owned_mask(account, cell.worker_id)
         self.refresh(cell.rack)
 
-    def _mark(self, account: str, cell: Cell) -> None:
+    def _add_owned_mask(self, account: str, cell: Cell) -> None:
         owned = self._owned.setdefault(cell.worker_id, {})
         worker = self._pool.workers.get(cell.worker_id)
         mask = self._mask(cell, worker)
         owned[account] = owned.get(account, 0) | mask
 
-    def _remark(self, account: str, worker_id: str) -> None:
+    def _recompute_owned_mask(self, account: str, worker_id: str) -> None:
         owned = self._owned.get(worker_id, {})
         owned.pop(account, None)
         for cell in self.bound.get(account, ()):
             if cell.worker_id == worker_id:
-                self._mark(account, cell)
+                self._add_owned_mask(account, cell)
         if not owned:
             self._owned.pop(worker_id, None)
 
@@ -341,7 +345,7 @@
             return cell.mask
         return worker.full_mask if worker is not None else 0
 
-    def _typical_rack(self) -> int:
+    def _largest_rack(self) -> int:
         racks = self._pool.racks.values()
         return max((_accelerators(rack) for rack in racks), default=1)
 
--- a/laburnumsill/state/jobs.py
+++ b/laburnumsill/state/jobs.py
@@ -19,31 +19,32 @@
 StopReason = jobs_messages.StopReason
 
 JOB_RETENTION_S = 86_400.0
-"""How long a job that has ended is remembered, in seconds."""
+"""Retention of the record of a job that has ended, in seconds."""
 
 KEY_RETENTION_S = 3 * 86_400.0
-"""How long the home chosen for a submission key is remembered."""
+"""Retention of the home recorded for a submission key, in seconds."""
 
 
 class StaleLeaderError(errors.ConflictError):
-    """A leader of an older term tried to extend leases."""
+    """A leader with an outdated term tried to extend leases."""
 
     slug = "stale-leader"
     title = "Another leader has taken over"
 
 
 class JobLedger(replication.Component):
-    """A failure domain's workers, jobs, placements, leases and keys.
+    """State machine component for the jobs and workers of a failure domain.
 
-    The scheduler of the domain's leader reads `book` of its own replica to
-    plan; every change goes through a command, and the ledger refuses what
-    does not fit its state: a slot in use, a start after a cancellation, an
-    old epoch, a binding that breaks another account's guarantee.
+    The scheduler on the domain's leader plans with `book` of its own replica.
+    Every change is a command, and the ledger refuses commands that do not
+    fit its state: a slot in use, a start after a cancellation, an outdated
+    epoch, a binding that breaks another account's guarantee.
 
     Attributes:
         book: Jobs, workers and cells.
-        keys: The homes chosen for submissions whose directory this is.
-        guarantees_version: The configuration that guarantees are from.
+        keys: The recorded homes by submission key, for the keys whose
+            directory is this domain.
+        guarantees_version: Configuration version of the guarantees.
         lease_until: Wall time up to which leases may have been granted.
     """
 
@@ -59,11 +60,11 @@
 
     @property
     def name(self) -> str:
-        """The key of this part in a snapshot."""
+        """The key of this component in a snapshot."""
         return "jobs"
 
     def commands(self) -> dict[type, replication.Handler]:
-        """Returns the handler of each command."""
+        """Returns the handlers by command type."""
         return {
             jobs_messages.RecordHome: self._record_home,
             jobs_messages.SubmitJob: self._submit,
@@ -82,7 +83,7 @@
         }
 
     def queries(self) -> dict[type, replication.Handler]:
-        """Returns the handler of each query."""
+        """Returns the handlers by query type."""
         return {
             jobs_messages.GetJob: self._get,
             jobs_messages.GetHome: self._get_home,
@@ -184,7 +185,7 @@
         if job.ended:
             return job.view(self._domain)
         if job.placement is None:
-            self._end(job, JobState.CANCELLED, "cancelled", command.now)
+            self._end_job(job, JobState.CANCELLED, "cancelled", command.now)
         else:
             self._begin_stop(job, StopReason.CANCELLED)
             job.state = JobState.CANCELLING
@@ -192,19 +193,24 @@
 
     def _put_workers(self, command: jobs_messages.PutWorkers) -> None:
         for worker_id in command.gone:
-            self._lose(worker_id)
+            self._lose_worker(worker_id)
         for announced in command.present:
             self._put_worker(announced)
 
     def _put_worker(self, announced: members.Worker) -> None:
-        """Takes in a worker; one started anew only when it is empty."""
+        """Adds or updates a worker.
+
+        If the worker has restarted, the placements on its old incarnation are
+        stopped, and the new one is added only if none is left. Otherwise a
+        later command adds it.
+        """
         known = self.book.pool.workers.get(announced.worker_id)
         if known is None:
             self.book.put_worker(workers.WorkerRecord(announced))
             return
         if not same_worker(known.announced, announced):
             health = known
-            self._lose(announced.worker_id)
+            self._lose_worker(announced.worker_id)
             if announced.worker_id in self.book.pool.workers:
                 return
             known = workers.WorkerRecord(
@@ -220,7 +226,7 @@
         known.announced = announced
         self.book.worker_changed(announced.worker_id)
 
-    def _lose(self, worker_id: str) -> None:
+    def _lose_worker(self, worker_id: str) -> None:
         worker = self.book.pool.workers.get(worker_id)
         if worker is None or worker.gone:
             return
@@ -277,7 +283,7 @@
         self.book.drop_hold(self.book.get(command.job_id))
 
     def _started(self, command: jobs_messages.JobStarted) -> None:
-        job = self._at_epoch(command.job_id, command.epoch)
+        job = self._job_at_epoch(command.job_id, command.epoch)
         if job.state == JobState.RUNNING:
             return
         if job.state != JobState.PREPARING:
@@ -287,16 +293,16 @@
         self.book.run(job, command.now)
 
     def _stop(self, command: jobs_messages.StopPlacement) -> None:
-        job = self._at_epoch(command.job_id, command.epoch)
+        job = self._job_at_epoch(command.job_id, command.epoch)
         placement = typing.cast(placements.Placement, job.placement)
         if placement.stopping is not None:
             return
         self._begin_stop(job, command.reason, command.checkpoint_until)
         job.reason = command.detail or str(command.reason)
         if command.blamed:
-            self._blame(job, command)
+            self._record_failure(job, command)
 
-    def _blame(
+    def _record_failure(
         self, job: placements.Job, command: jobs_messages.StopPlacement
     ) -> None:
         limits = jobs_health.Limits(command.max_tries, command.bad_worker_jobs)
@@ -306,16 +312,16 @@
             for name in jobs_health.blame_job(
                 job, command.blamed, pool, limits
             ):
-                self._worker_back(name)
+                self._restore_worker(name)
         suspect = command.reason != StopReason.OVER_USE
         if worker is not None and suspect:
-            silent = command.reason == StopReason.UNREACHABLE
-            aside = jobs_health.blame_worker(
-                job, worker, limits, command.now, silent
+            unanswered = command.reason == StopReason.UNREACHABLE
+            quarantined = jobs_health.blame_worker(
+                job, worker, limits, command.now, unanswered
             )
-            if aside:
+            if quarantined:
                 self.book.worker_changed(command.blamed)
-        if jobs_health.is_hopeless(job, self.book.pool, limits):
+        if jobs_health.tries_exhausted(job, self.book.pool, limits):
             job.hopeless = True
 
     def _begin_stop(
@@ -341,10 +347,10 @@
             )
         self.book.vacate(job)
         if job.state == JobState.CANCELLING:
-            self._end(job, JobState.CANCELLED, "cancelled", command.now)
+            self._end_job(job, JobState.CANCELLED, "cancelled", command.now)
         elif job.hopeless:
             reason = f"failed {len(job.failed_on)} times: {job.reason}"
-            self._end(job, JobState.FAILED, reason, command.now)
+            self._end_job(job, JobState.FAILED, reason, command.now)
         else:
             if placement.stopping not in jobs_messages.FAULTS:
                 job.interruptions += 1
@@ -354,21 +360,21 @@
         job = self.book.get(command.job_id)
         if job.state == JobState.SUCCEEDED:
             return
-        job = self._at_epoch(command.job_id, command.epoch)
+        job = self._job_at_epoch(command.job_id, command.epoch)
         placement = typing.cast(placements.Placement, job.placement)
         if not placement.running:
             raise jobs_checks.PlacementRefusedError(
                 f"{job.job_id} is {job.state} and has not run"
             )
         for slot in placement.slots:
-            jobs_health.praise(self.book.pool.workers[slot.worker_id])
+            jobs_health.record_success(self.book.pool.workers[slot.worker_id])
         limits = jobs_health.Limits(0, command.bad_worker_jobs)
-        for name in jobs_health.acquit(
+        for name in jobs_health.reassign_failures(
             job, self.book.pool, limits, command.now
         ):
             self.book.worker_changed(name)
         self.book.vacate(job)
-        self._end(job, JobState.SUCCEEDED, "", command.now)
+        self._end_job(job, JobState.SUCCEEDED, "", command.now)
 
     def _extend_leases(
         self, command: jobs_messages.ExtendLeases
@@ -390,19 +396,20 @@
         worker = self.book.pool.workers.get(command.worker_id)
         if worker is None or command.now < worker.aside_until:
             return
-        jobs_health.give_trial(worker)
-        self._worker_back(command.worker_id)
+        jobs_health.begin_probation(worker)
+        self._restore_worker(command.worker_id)
 
-    def _worker_back(self, worker_id: str) -> None:
-        """Brings indexes up to date with a worker that gets work again."""
+    def _restore_worker(self, worker_id: str) -> None:
+        """Updates the indexes with a worker whose quarantine has ended."""
         self.book.pool.freed += 1
         self.book.worker_changed(worker_id)
 
-    def _at_epoch(self, job_id: str, epoch: int) -> placements.Job:
-        """Returns a job whose placement has that epoch.
+    def _job_at_epoch(self, job_id: str, epoch: int) -> placements.Job:
+        """Returns a job after checking its fencing epoch.
 
         Raises:
-            jobs_checks.PlacementRefusedError: It has another one or none.
+            jobs_checks.PlacementRefusedError: The job has no placement, or
+                one of another epoch.
         """
         job = self.book.get(job_id)
         if job.placement is None or job.placement.epoch != epoch:
@@ -411,7 +418,7 @@
             )
         return job
 
-    def _end(
+    def _end_job(
         self, job: placements.Job, state: JobState, reason: str, now: float
     ) -> None:
         self.book.end(job, state, reason, now)
@@ -477,7 +484,10 @@
 
 
 def same_worker(one: members.Worker, other: members.Worker) -> bool:
-    """Returns whether two announcements are of one life of one worker."""
+    """Returns whether two announcements describe the same worker.
+
+    They differ if the worker has restarted or its resources have changed.
+    """
     return (
         one.incarnation == other.incarnation
         and one.rack == other.rack
--- a/laburnumsill/state/jobs_book.py
+++ b/laburnumsill/state/jobs_book.py
@@ -1,8 +1,11 @@
-"""The jobs, workers and cells of a domain, and the steps that change them.
+"""The jobs, workers and cells of a domain, and the changes to them.
 
-Each step checks first and raises without having changed anything. All that
-can be derived (what is free, who waits, who runs) is kept up to date with
-each step and rebuilt after a snapshot.
+Each change is checked first; if it is refused, an error is raised and the
+state stays as it was. Derived state (free capacity, queue, placed jobs) is
+maintained incrementally and rebuilt after a snapshot was loaded.
+
+A hold is a reservation of slots for a queued job; the slots may still be in
+use by the jobs that are preempted for it.
 """
 
 import dataclasses
@@ -22,7 +25,14 @@
 
 @dataclasses.dataclass(slots=True)
 class Use:
-    """What an account has in use: accelerators, and cores of borrowers."""
+    """Resources in use by an account.
+
+    Attributes:
+        guaranteed: Accelerators of its guaranteed jobs.
+        borrowed: Accelerators of its borrowing jobs.
+        borrowed_cores: Cores of its borrowing jobs.
+        running: Number of its jobs with a placement.
+    """
 
     guaranteed: int = 0
     borrowed: int = 0
@@ -36,13 +46,13 @@
     Attributes:
         jobs: All jobs by id, in the order of submission.
         pool: The workers.
-        cells: The guarantees.
-        queue: The jobs that wait.
-        live: The jobs with a placement.
-        unsettled: The jobs whose placement is preparing or stopping.
-        held: The jobs that slots are held for.
-        use: What each account has in use.
-        large_in_use: Accelerators that large borrowers have in use.
+        cells: The guarantees and the bound cells.
+        queue: The queued jobs.
+        live: The jobs with a placement, by id.
+        unsettled: The jobs whose placement is preparing or stopping, by id.
+        held: The jobs with reserved slots, by id.
+        use: The resources in use by each account.
+        large_in_use: Accelerators in use by large borrowing jobs.
     """
 
     def __init__(self) -> None:
@@ -61,7 +71,7 @@
         """Returns a job.
 
         Raises:
-            errors.NotFoundError: There is none of that id.
+            errors.NotFoundError: There is no job with that id.
         """
         job = self.jobs.get(job_id)
         if job is None:
@@ -84,23 +94,23 @@
         bind: abc.Sequence[jobs_messages.Cell],
         now: float,
     ) -> None:
-        """Gives a queued job its slots under its next epoch.
+        """Places a queued job on slots under its next epoch.
 
         Raises:
             errors.ConflictError: A slot is not free or not allowed.
         """
         held = job.hold
         if held:
-            self.pool.drop(job.job_id, job.spec, held)
+            self.pool.unreserve(job.job_id, job.spec, held)
         try:
-            self._claim(job, slots, bind, slots == held)
+            self._check_and_bind(job, slots, bind, slots == held)
         except errors.ConflictError:
             if held:
-                self.pool.hold(job.job_id, job.spec, held)
+                self.pool.reserve(job.job_id, job.spec, held)
             raise
         self.held.pop(job.job_id, None)
         job.hold = ()
-        self._leave_cells(job, held, keep=slots)
+        self._release_cells(job, held, keep=slots)
         self.queue.remove(job)
         job.epoch += 1
         job.placement = placements.Placement(job.epoch, slots, now)
@@ -113,7 +123,7 @@
         slots: tuple[jobs_messages.Slot, ...],
         bind: abc.Sequence[jobs_messages.Cell],
     ) -> None:
-        """Keeps slots for a queued job, whether in use by borrowers or not.
+        """Reserves slots for a queued job; borrowing jobs may be on them.
 
         Raises:
             errors.ConflictError: A slot is not allowed.
@@ -122,23 +132,25 @@
             raise jobs_checks.PlacementRefusedError(
                 f"{job.job_id} has slots held"
             )
-        self._claim(job, slots, bind, was_held=False, in_use_too=True)
+        self._check_and_bind(
+            job, slots, bind, was_held=False, may_be_in_use=True
+        )
         job.hold = slots
         self.held[job.job_id] = job
-        self.pool.hold(job.job_id, job.spec, slots)
+        self.pool.reserve(job.job_id, job.spec, slots)
 
     def drop_hold(self, job: placements.Job) -> None:
-        """Gives up the slots held for a job, if any."""
+        """Cancels the reservation of a job, if any."""
         if not job.hold:
             return
         held = job.hold
-        self.pool.drop(job.job_id, job.spec, held)
+        self.pool.unreserve(job.job_id, job.spec, held)
         job.hold = ()
         del self.held[job.job_id]
-        self._leave_cells(job, held, keep=())
+        self._release_cells(job, held, keep=())
 
     def run(self, job: placements.Job, now: float) -> None:
-        """Marks a job that has been prepared as running."""
+        """Marks a job as running after all its tasks were prepared."""
         job.state = JobState.RUNNING
         job.started_at = now
         if job.placement is not None:
@@ -152,13 +164,16 @@
         lease_until: float,
         checkpoint_until: float,
     ) -> None:
-        """Marks a job's placement as given up, if it is not yet.
+        """Marks a job's placement as stopping.
+
+        If it is already stopping, a cancellation only ends the time to
+        checkpoint.
 
         Args:
-            job: A job with a placement.
-            reason: Why.
-            lease_until: Wall time up to which its leases may last.
-            checkpoint_until: Wall time up to which it may save its work.
+            job: The job; without a placement it is left unchanged.
+            reason: Reason of the stop.
+            lease_until: Wall time up to which its leases may be valid.
+            checkpoint_until: Wall time up to which its tasks may checkpoint.
         """
         placement = job.placement
         if placement is None:
@@ -177,17 +192,17 @@
     def vacate(self, job: placements.Job) -> None:
         """Frees the slots of a job's placement."""
         slots = job.slots
-        self.pool.give_back(job.job_id, job.spec, slots)
-        self._count(job, -1)
+        self.pool.release(job.job_id, job.spec, slots)
+        self._count_use(job, -1)
         job.placement = None
         del self.live[job.job_id]
         self.unsettled.pop(job.job_id, None)
-        self._leave_cells(job, slots, keep=())
+        self._release_cells(job, slots, keep=())
         for worker_id in {slot.worker_id for slot in slots}:
-            self._forget_if_gone(worker_id)
+            self._remove_if_gone(worker_id)
 
     def requeue(self, job: placements.Job, now: float) -> None:
-        """Lets a job wait again, at its old place."""
+        """Queues a job again, at its old position."""
         job.state = JobState.QUEUED
         job.queued_at = now
         self.queue.add(job)
@@ -195,7 +210,7 @@
     def end(
         self, job: placements.Job, state: JobState, reason: str, now: float
     ) -> None:
-        """Ends a job that has no placement any more."""
+        """Ends a job without a placement."""
         if job.state == JobState.QUEUED:
             self.queue.remove(job)
         self.drop_hold(job)
@@ -213,21 +228,21 @@
         self.cells.refresh(record.announced.rack)
 
     def worker_changed(self, worker_id: str) -> None:
-        """Brings indexes up to date after a change of a worker's health."""
+        """Updates the derived state after a change of a worker's record."""
         self.pool.changed(worker_id)
         self.cells.refresh(self.pool.workers[worker_id].announced.rack)
 
     def lose_worker(self, worker_id: str) -> None:
-        """Marks a worker as gone; it is forgotten once nothing is on it."""
+        """Marks a worker as gone; it is removed once no task is on it."""
         worker = self.pool.workers[worker_id]
         for job_id in list(worker.holds):
             self.drop_hold(self.jobs[job_id])
         worker.gone = True
         self.worker_changed(worker_id)
-        self._forget_if_gone(worker_id)
+        self._remove_if_gone(worker_id)
 
-    def borrowers_held_on(self, worker_id: str, mask: int) -> list[str]:
-        """Returns the borrowing jobs with such accelerators held."""
+    def borrowers_with_holds(self, worker_id: str, mask: int) -> list[str]:
+        """Returns the borrowing jobs with a hold on some accelerators."""
         holds = self.pool.workers[worker_id].holds
         return [
             job_id
@@ -236,7 +251,7 @@
         ]
 
     def rebuild(self) -> None:
-        """Derives everything from jobs, worker records and bound cells."""
+        """Rebuilds the derived state from jobs, workers and bound cells."""
         self.queue = jobs_queue.Queue()
         self.live = {}
         self.unsettled = {}
@@ -251,18 +266,18 @@
                 self._occupy(job)
             if job.hold:
                 self.held[job.job_id] = job
-                self.pool.hold(job.job_id, job.spec, job.hold)
-                self._enter_cells(job, job.hold)
+                self.pool.reserve(job.job_id, job.spec, job.hold)
+                self._use_cells(job, job.hold)
 
     def _occupy(self, job: placements.Job) -> None:
         self.live[job.job_id] = job
         if job.state != JobState.RUNNING:
             self.unsettled[job.job_id] = job
-        self.pool.take(job.job_id, job.spec, job.slots)
-        self._enter_cells(job, job.slots)
-        self._count(job, 1)
+        self.pool.occupy(job.job_id, job.spec, job.slots)
+        self._use_cells(job, job.slots)
+        self._count_use(job, 1)
 
-    def _count(self, job: placements.Job, sign: int) -> None:
+    def _count_use(self, job: placements.Job, sign: int) -> None:
         spec = job.spec
         use = self.use.setdefault(spec.account, Use())
         use.running += sign
@@ -274,22 +289,28 @@
             use.borrowed += sign * spec.total_accelerators
             use.borrowed_cores += sign * spec.tasks * spec.cores
 
-    def _claim(
+    def _check_and_bind(
         self,
         job: placements.Job,
         slots: tuple[jobs_messages.Slot, ...],
         bind: abc.Sequence[jobs_messages.Cell],
         was_held: bool,
-        in_use_too: bool = False,
+        may_be_in_use: bool = False,
     ) -> None:
-        """Checks slots and binds cells; drops the holds of borrowers.
+        """Checks slots for a job and binds cells.
+
+        For a guaranteed job, the holds of borrowing jobs on the slots are
+        cancelled.
 
         Args:
             job: A queued job without a hold.
-            slots: What it is to have.
-            bind: Cells to bind first.
-            was_held: Whether the slots were held for it until now.
-            in_use_too: Whether borrowers may still be on the slots.
+            slots: The slots for its tasks.
+            bind: Cells to bind to its account first.
+            was_held: Whether the same slots were reserved for it until now.
+            may_be_in_use: Whether borrowing jobs may still be on the slots.
+
+        Raises:
+            errors.ConflictError: A slot or a binding is not allowed.
         """
         spec = job.spec
         if len(slots) != spec.tasks:
@@ -304,9 +325,9 @@
         try:
             self._check_binding(job, slots, bind)
             for worker_id, (mask, count) in masks.items():
-                self._check(job, worker_id, mask, count, in_use_too)
-                if not in_use_too:
-                    jobs_checks.check_room(
+                self._check_worker(job, worker_id, mask, count, may_be_in_use)
+                if not may_be_in_use:
+                    jobs_checks.check_capacity(
                         self.pool.workers[worker_id], spec, count, was_held
                     )
         except errors.ConflictError:
@@ -315,9 +336,9 @@
             raise
         if spec.guaranteed:
             for worker_id, (mask, _) in masks.items():
-                for other in self.borrowers_held_on(worker_id, mask):
+                for other in self.borrowers_with_holds(worker_id, mask):
                     self.drop_hold(self.jobs[other])
-            self._enter_cells(job, slots)
+            self._use_cells(job, slots)
 
     def _check_binding(
         self,
@@ -329,15 +350,15 @@
         if unused:
             raise jobs_checks.PlacementRefusedError(f"no slot is in {unused}")
 
-    def _check(
+    def _check_worker(
         self,
         job: placements.Job,
         worker_id: str,
         mask: int,
         count: int,
-        in_use_too: bool,
+        may_be_in_use: bool,
     ) -> None:
-        """Checks what a job wants of one worker."""
+        """Checks the slots of a job on one worker."""
         spec = job.spec
         worker = self.pool.workers[worker_id]
         least = worker.footprint(spec) * count
@@ -347,7 +368,7 @@
                 f"mask {mask:b} of {worker_id!r} is not {least} accelerators"
             )
         taken = self.guaranteed_mask(worker)
-        if not in_use_too:
+        if not may_be_in_use:
             taken |= worker.used_mask
         if spec.guaranteed:
             taken |= ~self.cells.owned_mask(spec.account, worker_id)
@@ -359,7 +380,7 @@
             )
 
     def guaranteed_mask(self, worker: workers.WorkerRecord) -> int:
-        """Returns the accelerators held for guaranteed jobs, or in use."""
+        """Returns the accelerators that guaranteed jobs reserve or use."""
         mask = 0
         for job_id, held in worker.holds.items():
             if self.jobs[job_id].spec.guaranteed:
@@ -369,7 +390,7 @@
                 mask |= share.mask
         return mask
 
-    def _enter_cells(
+    def _use_cells(
         self, job: placements.Job, slots: abc.Iterable[jobs_messages.Slot]
     ) -> None:
         if not job.spec.guaranteed:
@@ -377,7 +398,7 @@
         for cell in self._cells_of(job, slots):
             self._cell_users.setdefault(cell, set()).add(job.job_id)
 
-    def _leave_cells(
+    def _release_cells(
         self,
         job: placements.Job,
         slots: abc.Iterable[jobs_messages.Slot],
@@ -398,7 +419,7 @@
     def _cells_of(
         self, job: placements.Job, slots: abc.Iterable[jobs_messages.Slot]
     ) -> list[jobs_messages.Cell]:
-        """Returns the account's bound cells that some of the slots are in."""
+        """Returns the account's bound cells that contain some of the slots."""
         masks: dict[str, int] = {}
         for slot in slots:
             masks[slot.worker_id] = masks.get(slot.worker_id, 0) | slot.mask
@@ -411,7 +432,7 @@
                 found.append(cell)
         return found
 
-    def _forget_if_gone(self, worker_id: str) -> None:
+    def _remove_if_gone(self, worker_id: str) -> None:
         worker = self.pool.workers.get(worker_id)
         if worker is None or not worker.gone or worker.tasks:
             return
--- a/laburnumsill/state/jobs_checks.py
+++ b/laburnumsill/state/jobs_checks.py
@@ -1,4 +1,4 @@
-"""Checks of a placement against what is free on its workers."""
+"""Checks of a placement against the free capacity of its workers."""
 
 from collections import abc
 
@@ -9,7 +9,7 @@
 
 
 class PlacementRefusedError(errors.ConflictError):
-    """A placement that does not fit the state as it is now."""
+    """A command on a placement that does not fit the present state."""
 
     slug = "placement-refused"
     title = "The placement does not fit the present state"
@@ -18,7 +18,7 @@
 def masks_of(
     slots: abc.Iterable[jobs_messages.Slot],
 ) -> dict[str, tuple[int, int]]:
-    """Returns the accelerators and number of the slots on each worker.
+    """Returns the accelerator mask and number of slots for each worker.
 
     Raises:
         PlacementRefusedError: Two slots overlap.
@@ -37,10 +37,11 @@
     spec: jobs_messages.JobSpec,
     worker_ids: abc.Iterable[str],
 ) -> None:
-    """Checks that the workers are usable and, where needed, in one rack.
+    """Checks that the workers are usable and, if required, in one rack.
 
     Raises:
-        PlacementRefusedError: They are not.
+        PlacementRefusedError: A worker is not usable, or they are in several
+            racks.
     """
     racks = set()
     for worker_id in worker_ids:
@@ -52,7 +53,7 @@
         raise PlacementRefusedError(f"{sorted(racks)} are not one rack")
 
 
-def check_room(
+def check_capacity(
     worker: workers.WorkerRecord,
     spec: jobs_messages.JobSpec,
     count: int,
@@ -60,11 +61,12 @@
 ) -> None:
     """Checks that a worker has cores and memory for `count` tasks.
 
-    What is held for others counts as taken, but not against a job with slots
-    of its own: their cores may come from the same borrower that was stopped.
+    Cores and memory reserved for other jobs count as in use, except for a
+    guaranteed job and a job whose slots were reserved: several reservations
+    may count on the cores of the same stopped borrower.
 
     Raises:
-        PlacementRefusedError: It has not.
+        PlacementRefusedError: The worker has too few cores or memory.
     """
     cores = worker.free_cores
     memory_gb = worker.free_memory_gb
--- a/laburnumsill/state/jobs_messages.py
+++ b/laburnumsill/state/jobs_messages.py
@@ -1,7 +1,7 @@
-"""What goes into and comes out of a domain's job ledger.
+"""Commands, queries and records of a domain's job ledger.
 
-Commands carry the wall time they were proposed at (`now`, Unix seconds) and
-are idempotent, so that a proposer whose answer was lost repeats them.
+Commands carry the wall time of their proposal (`now`, Unix seconds) and are
+idempotent, so that a proposer may retry a command whose answer was lost.
 """
 
 import dataclasses
@@ -11,14 +11,14 @@
 from laburnumsill.core import members
 
 MAX_TASKS = 128
-"""The most tasks that a gang may have."""
+"""Limit of the tasks of a gang."""
 
 
 class JobState(enum.StrEnum):
-    """Where a job stands.
+    """State of a job.
 
-    CANCELLING says that the cancellation is committed while tasks may still
-    run; CANCELLED says that none runs and none ever will.
+    CANCELLING: the cancellation is committed, but tasks may still run.
+    CANCELLED: no task runs, and none will run.
     """
 
     QUEUED = "queued"
@@ -32,11 +32,11 @@
 
 
 ENDED = frozenset({JobState.SUCCEEDED, JobState.FAILED, JobState.CANCELLED})
-"""The states that a job never leaves."""
+"""The final states of a job."""
 
 
 class StopReason(enum.StrEnum):
-    """Why a placement was stopped before its tasks had ended."""
+    """Reason for stopping a placement before its tasks have ended."""
 
     CANCELLED = "cancelled"
     RECLAIMED = "reclaimed"
@@ -51,27 +51,28 @@
 FAULTS = frozenset(
     {StopReason.TASK_FAILED, StopReason.REFUSED, StopReason.OVER_USE}
 )
-"""The reasons that count as a failed try of the job."""
+"""The stop reasons that count as a failed try of the job."""
 
 
 @codec.register("jobs.spec")
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobSpec:
-    """What a client account asked for; sizes are for each task.
+    """A job's requested resources and options.
 
     Attributes:
         account: The client account.
-        tasks: Members of the gang.
+        tasks: Number of tasks of the gang.
         accelerators: Accelerators of a task.
         cores: Processor cores of a task.
         memory_gb: Memory of a task in GB.
         adjacency: "rack" for one rack, "any" for anywhere in the domain.
-        guaranteed: Whether it claims the account's guarantee; if not it
-            borrows and may be stopped for a claim.
-        estimated_run_s: The declared run time; nothing safe rests on it.
-        run_s: Passed to the worker, or None.
-        urgent: Whether it goes before the account's other jobs.
-        command: What the worker runs.
+        guaranteed: Whether the job uses the account's guarantee; if not, it
+            borrows free capacity and may be preempted for guaranteed jobs.
+        estimated_run_s: The declared run time, an estimate only; safety does
+            not depend on it.
+        run_s: Run time passed to the worker, or None.
+        urgent: Whether the job is placed before the account's other jobs.
+        command: The command that the worker runs.
     """
 
     account: str
@@ -95,11 +96,11 @@
 @codec.register("jobs.slot")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Slot:
-    """The place of one task.
+    """The resources of one task on a worker.
 
     Attributes:
         worker_id: The worker.
-        mask: The accelerators it holds, bit i for accelerator i.
+        mask: Accelerators of the task, bit i for accelerator i.
     """
 
     worker_id: str
@@ -112,10 +113,10 @@
     """A physical cell, see `cells`.
 
     Attributes:
-        level: A `cells.Level`.
-        rack: The rack that it is or lies in.
-        worker_id: The worker that it is or lies on; "" for a rack.
-        mask: Its accelerators; 0 for a rack or a worker, which are whole.
+        level: The size of the cell, a `cells.Level`.
+        rack: The rack of the cell.
+        worker_id: The worker of the cell; "" if the cell is a rack.
+        mask: Accelerators of the cell; 0 if it is a rack or a worker.
     """
 
     level: int
@@ -127,7 +128,7 @@
 @codec.register("jobs.view")
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobView:
-    """A job as it is shown to its owner."""
+    """View of a job for its owner, see `placements.Job`."""
 
     job_id: str
     account: str
@@ -147,7 +148,7 @@
 @codec.register("jobs.record-home")
 @dataclasses.dataclass(frozen=True, slots=True)
 class RecordHome:
-    """Records the home domain chosen for a submission, unless it has one."""
+    """Command that records a submission's home domain; the first one stays."""
 
     key: str
     digest: str
@@ -158,7 +159,7 @@
 @codec.register("jobs.get-home")
 @dataclasses.dataclass(frozen=True, slots=True)
 class GetHome:
-    """Asks for the home domain recorded for a submission."""
+    """Query for the recorded home domain of a submission."""
 
     key: str
     digest: str
@@ -167,7 +168,7 @@
 @codec.register("jobs.home")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Home:
-    """The home domain of a submission as first recorded, or ""."""
+    """Answer with the recorded home domain of a submission, or ""."""
 
     domain: str
 
@@ -175,7 +176,7 @@
 @codec.register("jobs.submit")
 @dataclasses.dataclass(frozen=True, slots=True)
 class SubmitJob:
-    """Puts a job into the queue; the same id again changes nothing."""
+    """Command that queues a job; idempotent by `job_id`."""
 
     job_id: str
     digest: str
@@ -187,7 +188,7 @@
 @codec.register("jobs.cancel")
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelJob:
-    """Cancels a job; a job that has ended stays as it is."""
+    """Command that cancels a job; no effect on a job that has ended."""
 
     job_id: str
     now: float
@@ -196,9 +197,13 @@
 @codec.register("jobs.put-workers")
 @dataclasses.dataclass(frozen=True, slots=True)
 class PutWorkers:
-    """Adds or changes workers, and removes those that are gone.
+    """Command that adds, updates and removes workers.
 
-    The placements on a worker that is gone or was started anew are stopped.
+    The placements on a worker that is gone or has restarted are stopped.
+
+    Attributes:
+        present: Announcements of the workers to add or update.
+        gone: Ids of the workers to remove.
     """
 
     present: tuple[members.Worker, ...]
@@ -209,11 +214,11 @@
 @codec.register("jobs.place")
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlaceJob:
-    """Gives a queued job its slots under a new fencing epoch.
+    """Command that places a queued job under a new fencing epoch.
 
     Attributes:
         epoch: One more than the job's last epoch.
-        slots: One for each task.
+        slots: One slot for each task.
         bind: Cells to bind to the account first, for a guaranteed job.
     """
 
@@ -227,15 +232,15 @@
 @codec.register("jobs.hold")
 @dataclasses.dataclass(frozen=True, slots=True)
 class HoldSlots:
-    """Keeps slots for a queued job and stops the borrowers in its way.
+    """Command that reserves slots for a queued job and preempts others.
 
     Attributes:
         epoch: The job's present epoch.
-        slots: One for each task; they may still be in use.
+        slots: One slot for each task; they may still be in use.
         bind: Cells to bind to the account first, for a guaranteed job.
         victims: Borrowing jobs to stop.
-        reason: Why they are stopped.
-        checkpoint_until: Wall time up to which they may save their work.
+        reason: Reason for stopping the victims.
+        checkpoint_until: Wall time up to which the victims may checkpoint.
     """
 
     job_id: str
@@ -251,7 +256,7 @@
 @codec.register("jobs.drop-hold")
 @dataclasses.dataclass(frozen=True, slots=True)
 class DropHold:
-    """Gives up the slots held for a job, so that it is planned anew."""
+    """Command that cancels a job's reservation, so that it is planned again."""
 
     job_id: str
     now: float
@@ -260,11 +265,12 @@
 @codec.register("jobs.set-guarantees")
 @dataclasses.dataclass(frozen=True, slots=True)
 class SetGuarantees:
-    """Puts the guarantees of a newer configuration in force.
+    """Command that applies the guarantees of a newer configuration.
 
     Attributes:
-        cells: For each account the number of single accelerators, pairs,
-            workers and racks owed in this domain.
+        version: The configuration version.
+        cells: For each account, the number of single accelerators, pairs,
+            workers and racks guaranteed in this domain.
     """
 
     version: int
@@ -274,7 +280,7 @@
 @codec.register("jobs.return-worker")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReturnWorker:
-    """Lets a worker that was set aside be tried again."""
+    """Command that ends the quarantine of a worker."""
 
     worker_id: str
     now: float
@@ -283,7 +289,7 @@
 @codec.register("jobs.started")
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobStarted:
-    """Says that every member has prepared and may now be started."""
+    """Command that records that all tasks are prepared and may start."""
 
     job_id: str
     epoch: int
@@ -293,16 +299,19 @@
 @codec.register("jobs.stop")
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopPlacement:
-    """Gives up a placement; its job waits for it to end, then queues again.
+    """Command that stops a placement.
+
+    When the placement has been released, its job is queued again or ends.
 
     Attributes:
+        reason: Reason of the stop.
         blamed: The worker on which a task failed, or "".
-        detail: What the worker said.
-        checkpoint_until: Wall time up to which tasks may save their work; 0
-            to stop at once.
+        detail: The worker's description of the failure.
+        checkpoint_until: Wall time up to which tasks may checkpoint; 0 to
+            stop immediately.
         max_tries: Failed tries after which the job ends.
         bad_worker_jobs: Distinct jobs that fail on a worker before it is
-            set aside.
+            quarantined.
     """
 
     job_id: str
@@ -319,11 +328,11 @@
 @codec.register("jobs.release")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReleasePlacement:
-    """Frees the slots of a stopped placement: no task of it can run now.
+    """Command that frees the slots of a stopped placement.
 
     Attributes:
-        confirmed: Whether every member confirmed its end; if not, every
-            lease has certainly ended.
+        confirmed: Whether the end of all tasks was confirmed; if not, the
+            command is refused until all their leases have expired.
     """
 
     job_id: str
@@ -335,11 +344,11 @@
 @codec.register("jobs.succeeded")
 @dataclasses.dataclass(frozen=True, slots=True)
 class JobSucceeded:
-    """Says that every member ended well; ends the job, frees its slots.
+    """Command that ends a job all of whose tasks succeeded.
 
     Attributes:
         bad_worker_jobs: Distinct jobs that fail on a worker before it is
-            set aside.
+            quarantined.
     """
 
     job_id: str
@@ -351,14 +360,14 @@
 @codec.register("jobs.extend-leases")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ExtendLeases:
-    """Moves on the point up to which leases may be granted in the domain.
+    """Command that extends the lease limit of the domain.
 
-    A leader grants no lease beyond the committed point, so that the next
-    one knows when every lease granted before it has ended.
+    A leader grants no lease beyond the committed limit, so that the next
+    leader knows when all leases granted before have expired.
 
     Attributes:
-        term: The leader's term; one older than the last is refused.
-        until: Wall time, the new point.
+        term: The leader's term; an older one than the last is refused.
+        until: Wall time up to which leases may be granted.
     """
 
     term: int
@@ -369,7 +378,12 @@
 @codec.register("jobs.leases")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Leases:
-    """How far leases may be granted, and the jobs whose leases may not."""
+    """Answer to `ExtendLeases`.
+
+    Attributes:
+        until: Wall time up to which leases may be granted.
+        stopping: Jobs being stopped, whose leases must not be renewed.
+    """
 
     until: float
     stopping: tuple[str, ...]
@@ -378,7 +392,7 @@
 @codec.register("jobs.get")
 @dataclasses.dataclass(frozen=True, slots=True)
 class GetJob:
-    """Asks for one job."""
+    """Query for one job."""
 
     job_id: str
 
@@ -386,7 +400,13 @@
 @codec.register("jobs.list")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListJobs:
-    """Asks for jobs, the newest first."""
+    """Query for jobs, the newest first.
+
+    Attributes:
+        account: Only jobs of this account, or None for all.
+        state: Only jobs in this state, or None for all.
+        limit: Limit of the jobs in the answer.
+    """
 
     account: str | None
     state: JobState | None
@@ -396,7 +416,12 @@
 @codec.register("jobs.listing")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Listing:
-    """Jobs, the newest first, and the domains that did not answer."""
+    """Answer with jobs.
+
+    Attributes:
+        jobs: The jobs, the newest first.
+        unavailable: The domains that did not answer.
+    """
 
     jobs: tuple[JobView, ...]
     unavailable: tuple[str, ...] = ()
@@ -405,20 +430,20 @@
 @codec.register("jobs.get-use")
 @dataclasses.dataclass(frozen=True, slots=True)
 class GetUse:
-    """Asks what each account uses in this domain."""
+    """Query for the resources in use in this domain by account."""
 
 
 @codec.register("jobs.account-use")
 @dataclasses.dataclass(frozen=True, slots=True)
 class AccountUse:
-    """What an account uses in a domain.
+    """Resources in use by an account in a domain.
 
     Attributes:
         guaranteed: Accelerators in use by its guaranteed jobs.
         borrowed: Accelerators in use by its borrowing jobs.
         borrowed_cores: Cores in use by its borrowing jobs.
-        queued: Its jobs that wait.
-        running: Its jobs with a placement.
+        queued: Number of its queued jobs.
+        running: Number of its jobs with a placement.
     """
 
     guaranteed: int = 0
@@ -431,16 +456,16 @@
 @codec.register("jobs.domain-use")
 @dataclasses.dataclass(frozen=True, slots=True)
 class DomainUse:
-    """What is there and in use in a domain.
+    """Capacity, use and demand of a domain.
 
     Attributes:
-        accelerators: Those of all workers.
-        free_accelerators: Those that nothing runs on.
-        free_cores: Cores that nothing runs on.
-        queued_accelerators: Those that waiting jobs ask for.
-        queued_cores: Cores that waiting jobs ask for.
+        accelerators: Accelerators of all workers.
+        free_accelerators: Free accelerators of usable workers.
+        free_cores: Free cores of usable workers.
+        queued_accelerators: Accelerators that queued jobs request.
+        queued_cores: Cores that queued jobs request.
         shortfall: Accelerators missing to restore all guarantees.
-        accounts: By name.
+        accounts: Use of each account, by name.
     """
 
     accelerators: int
--- a/laburnumsill/state/jobs_pool.py
+++ b/laburnumsill/state/jobs_pool.py
@@ -1,7 +1,7 @@
-"""All workers of a domain, by rack, with indexes over what is free.
+"""The workers of a domain by rack, with indexes of the free capacity.
 
-The indexes are kept up with each change, so that finding a place looks at a
-few racks and never at all workers.
+The indexes are updated with each change, so that the search for slots visits
+a few racks and never all workers.
 """
 
 import bisect
@@ -16,21 +16,21 @@
 from laburnumsill.state import workers
 
 TRACKED_SIZES = (1, 2, 4, 8)
-"""Accelerators of a task for which the free slots of a rack are indexed."""
+"""Accelerators of a task for which the free slots of racks are indexed."""
 
 TRACKED_CORES = (1, 2, 4, 8, 16, 32)
-"""Cores of a task for which the free slots of a rack are indexed."""
+"""Cores of a task for which the free slots of racks are indexed."""
 
-UNBOUNDED = 1 << 60
+_UNBOUNDED_COUNT = 1 << 60
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sums:
-    """What of a rack the indexes are made of.
+class RackTotals:
+    """Free capacity of a rack's usable workers, the keys of the indexes.
 
     Attributes:
         slots: Free slots for each of `TRACKED_SIZES`.
-        partial: Those of them on workers that are in use already.
+        partial: Those of them on workers that are partly in use.
         core_slots: Free slots for each of `TRACKED_CORES`.
         cores: Free cores.
     """
@@ -42,18 +42,26 @@
 
 
 class Rack:
-    """The workers of one rack and the sums that the indexes are made of."""
+    """The workers of one rack.
 
-    __slots__ = ("name", "accelerators", "workers", "keys")
+    Attributes:
+        name: The rack's name.
+        accelerators: All accelerators, those of unusable workers too.
+        workers: The workers by id.
+        indexed_totals: The totals that the indexes hold, None if the rack is
+            not indexed.
+    """
+
+    __slots__ = ("name", "accelerators", "workers", "indexed_totals")
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.accelerators = 0
         self.workers: dict[str, workers.WorkerRecord] = {}
-        self.keys: Sums | None = None
+        self.indexed_totals: RackTotals | None = None
 
-    def sums(self) -> Sums:
-        """Returns the sums over the usable workers as they are now."""
+    def totals(self) -> RackTotals:
+        """Returns the present totals over the usable workers."""
         slots = [0] * len(TRACKED_SIZES)
         partial = [0] * len(TRACKED_SIZES)
         core_slots = [0] * len(TRACKED_CORES)
@@ -63,31 +71,33 @@
                 continue
             free_cores = max(0, worker.free_cores)
             cores += free_cores
-            for place, size in enumerate(TRACKED_CORES):
-                core_slots[place] += free_cores // size
+            for position, size in enumerate(TRACKED_CORES):
+                core_slots[position] += free_cores // size
             free = worker.free_mask.bit_count()
             if not free:
                 continue
-            broken = free < worker.announced.accelerators
-            for place, size in enumerate(TRACKED_SIZES):
+            is_partly_used = free < worker.announced.accelerators
+            for position, size in enumerate(TRACKED_SIZES):
                 count = free // size
-                slots[place] += count
-                if broken:
-                    partial[place] += count
-        return Sums(tuple(slots), tuple(partial), tuple(core_slots), cores)
+                slots[position] += count
+                if is_partly_used:
+                    partial[position] += count
+        return RackTotals(
+            tuple(slots), tuple(partial), tuple(core_slots), cores
+        )
 
 
 class Pool:
-    """All workers of a domain, with indexes by rack.
+    """All workers of a domain, with indexes of the free capacity of racks.
 
     Attributes:
-        workers: By id.
-        racks: By name.
+        workers: The workers by id.
+        racks: The racks by name.
         accelerators: All accelerators, those of unusable workers too.
-        cores: All cores.
-        free_accelerators: Those free on usable workers.
-        free_cores: Cores free on usable workers.
-        freed: Grows whenever a place may have become free.
+        cores: All cores, those of unusable workers too.
+        free_accelerators: Free accelerators of usable workers.
+        free_cores: Free cores of usable workers.
+        freed: Counter that increases whenever slots may have become free.
     """
 
     def __init__(self) -> None:
@@ -98,14 +108,14 @@
         self.free_accelerators = 0
         self.free_cores = 0
         self.freed = 0
-        self._slots = [_index() for _ in TRACKED_SIZES]
-        self._partial = [_index() for _ in TRACKED_SIZES]
-        self._core_slots = [_index() for _ in TRACKED_CORES]
+        self._slots = [_new_index() for _ in TRACKED_SIZES]
+        self._partial = [_new_index() for _ in TRACKED_SIZES]
+        self._core_slots = [_new_index() for _ in TRACKED_CORES]
         self._deferred: set[str] | None = None
 
     @contextlib.contextmanager
     def deferred(self) -> abc.Iterator[None]:
-        """Brings each changed rack's indexes up to date once, at the end."""
+        """Defers index updates: each changed rack is indexed once, at exit."""
         self._deferred = set()
         try:
             yield
@@ -131,7 +141,7 @@
         self.freed += 1
 
     def remove(self, worker_id: str) -> None:
-        """Forgets a worker; an unknown one is ignored."""
+        """Removes a worker; an unknown one is ignored."""
         record = self.workers.pop(worker_id, None)
         if record is None:
             return
@@ -145,27 +155,27 @@
             del self.racks[rack.name]
 
     def changed(self, worker_id: str) -> None:
-        """Brings the indexes up to date with one worker's record."""
+        """Updates the indexes after a change of a worker's record."""
         self._reindex(self.racks[self.workers[worker_id].announced.rack])
 
-    def take(
+    def occupy(
         self,
         job_id: str,
         spec: jobs_messages.JobSpec,
         slots: abc.Sequence[jobs_messages.Slot],
     ) -> None:
-        """Marks the slots of a job's tasks as used."""
+        """Marks the slots of a job's tasks as in use."""
         for slot in slots:
             worker = self.workers[slot.worker_id]
             worker.used_mask |= slot.mask
             worker.used_cores += spec.cores
             worker.used_memory_gb += spec.memory_gb
-            share = worker.tasks.setdefault(job_id, workers.OnWorker())
+            share = worker.tasks.setdefault(job_id, workers.JobShare())
             share.mask |= slot.mask
             share.count += 1
         self._reindex_all(slots)
 
-    def give_back(
+    def release(
         self,
         job_id: str,
         spec: jobs_messages.JobSpec,
@@ -181,13 +191,13 @@
         self._reindex_all(slots)
         self.freed += 1
 
-    def hold(
+    def reserve(
         self,
         job_id: str,
         spec: jobs_messages.JobSpec,
         slots: abc.Sequence[jobs_messages.Slot],
     ) -> None:
-        """Keeps slots, in use or not, for a job: no other gets them."""
+        """Reserves slots, in use or not, for a job."""
         for slot in slots:
             worker = self.workers[slot.worker_id]
             worker.holds[job_id] = worker.holds.get(job_id, 0) | slot.mask
@@ -196,13 +206,13 @@
             worker.held_memory_gb += spec.memory_gb
         self._reindex_all(slots)
 
-    def drop(
+    def unreserve(
         self,
         job_id: str,
         spec: jobs_messages.JobSpec,
         slots: abc.Sequence[jobs_messages.Slot],
     ) -> None:
-        """Ends the hold of a job."""
+        """Cancels the reservation of a job."""
         for slot in slots:
             worker = self.workers[slot.worker_id]
             worker.holds.pop(job_id, None)
@@ -213,43 +223,54 @@
         self.freed += 1
 
     def racks_with(self, count: int, size: int) -> abc.Iterator[Rack]:
-        """Yields racks with `count` free slots of `size`, fullest first.
+        """Yields racks with `count` free slots, those with fewest first.
 
         Args:
-            count: Tasks that have to fit.
-            size: Accelerators of a task, above 0. Between tracked sizes the
-                rack may turn out too small.
+            count: Number of tasks that have to fit.
+            size: Accelerators of a task, above 0. If it is not in
+                `TRACKED_SIZES`, the next smaller tracked size is used and a
+                yielded rack may be too small.
         """
-        yield from self._from(self._slots[_place(TRACKED_SIZES, size)], count)
+        yield from self._racks_from(
+            self._slots[_size_index(TRACKED_SIZES, size)], count
+        )
 
     def broken_racks_with(self, size: int) -> abc.Iterator[Rack]:
-        """Yields racks with a free slot on a worker already in use."""
-        yield from self._from(self._partial[_place(TRACKED_SIZES, size)], 1)
+        """Yields racks with a free slot on a partly used worker.
+
+        Racks with the fewest such slots come first.
+        """
+        yield from self._racks_from(
+            self._partial[_size_index(TRACKED_SIZES, size)], 1
+        )
 
     def racks_with_cores(self, count: int, cores: int) -> abc.Iterator[Rack]:
         """Yields racks with `count` free slots of `cores` cores.
 
-        Racks without a free accelerator come first, so that none is left
-        without cores; then the fullest.
+        Racks without a free accelerator come first, so that free accelerators
+        are not left without cores; then racks with the fewest free slots.
         """
-        index = self._core_slots[_place(TRACKED_CORES, cores)]
+        index = self._core_slots[_size_index(TRACKED_CORES, cores)]
         for has_accelerators in (False, True):
-            least = ((has_accelerators, count), "")
-            most = ((has_accelerators, UNBOUNDED), "")
-            for _, name in index.irange(least, most):
+            low = ((has_accelerators, count), "")
+            high = ((has_accelerators, _UNBOUNDED_COUNT), "")
+            for _, name in index.irange(low, high):
                 yield self.racks[name]
 
     def racks_by_size(self, accelerators: int) -> abc.Iterator[Rack]:
-        """Yields racks with so many accelerators, most free ones first."""
+        """Yields racks with at least that number of accelerators.
+
+        Racks with the most free accelerators come first.
+        """
         for _, name in reversed(self._slots[0]):
             rack = self.racks[name]
             if rack.accelerators >= accelerators:
                 yield rack
 
-    def _from(
-        self, index: sortedcontainers.SortedList, least: int
+    def _racks_from(
+        self, index: sortedcontainers.SortedList, min_count: int
     ) -> abc.Iterator[Rack]:
-        for _, name in index.irange((least, "")):
+        for _, name in index.irange((min_count, "")):
             yield self.racks[name]
 
     def _reindex_all(self, slots: abc.Sequence[jobs_messages.Slot]) -> None:
@@ -264,40 +285,42 @@
         self._unindex(rack)
         if not rack.workers:
             return
-        rack.keys = rack.sums()
+        rack.indexed_totals = rack.totals()
         self._count_free(rack, 1)
-        for index, key in self._entries(rack):
+        for index, key in self._index_entries(rack):
             index.add((key, rack.name))
 
     def _unindex(self, rack: Rack) -> None:
-        if rack.keys is not None:
-            for index, key in self._entries(rack):
+        if rack.indexed_totals is not None:
+            for index, key in self._index_entries(rack):
                 index.discard((key, rack.name))
             self._count_free(rack, -1)
-            rack.keys = None
+            rack.indexed_totals = None
 
     def _count_free(self, rack: Rack, sign: int) -> None:
-        if rack.keys is not None:
-            self.free_accelerators += sign * rack.keys.slots[0]
-            self.free_cores += sign * rack.keys.cores
+        if rack.indexed_totals is not None:
+            self.free_accelerators += sign * rack.indexed_totals.slots[0]
+            self.free_cores += sign * rack.indexed_totals.cores
 
-    def _entries(
+    def _index_entries(
         self, rack: Rack
     ) -> abc.Iterator[tuple[sortedcontainers.SortedList, typing.Any]]:
-        keys = rack.keys
-        if keys is None:
+        indexed_totals = rack.indexed_totals
+        if indexed_totals is None:
             return
-        yield from zip(self._slots, keys.slots, strict=True)
-        yield from zip(self._partial, keys.partial, strict=True)
-        has_accelerators = keys.slots[0] > 0
-        for index, count in zip(self._core_slots, keys.core_slots, strict=True):
+        yield from zip(self._slots, indexed_totals.slots, strict=True)
+        yield from zip(self._partial, indexed_totals.partial, strict=True)
+        has_accelerators = indexed_totals.slots[0] > 0
+        for index, count in zip(
+            self._core_slots, indexed_totals.core_slots, strict=True
+        ):
             yield index, (has_accelerators, count)
 
 
-def _index() -> sortedcontainers.SortedList:
+def _new_index() -> sortedcontainers.SortedList:
     return sortedcontainers.SortedList()
 
 
-def _place(tracked: tuple[int, ...], size: int) -> int:
+def _size_index(tracked: tuple[int, ...], size: int) -> int:
     """Returns the position of the largest tracked size up to `size`."""
     return max(0, bisect.bisect_right(tracked, size) - 1)
--- a/laburnumsill/state/jobs_queue.py
+++ b/laburnumsill/state/jobs_queue.py
@@ -1,8 +1,8 @@
-"""The jobs that wait, in lines, grouped by what they need.
+"""The queued jobs by account, grouped by the shape of their demand.
 
-Jobs of one shape need the same place: if the first of them finds none, no
-other of that shape does, so a pass over a line looks at each shape once and
-not at each job.
+Jobs of one shape need the same slots: if the first of them cannot be placed,
+no other job of that shape can, so a scheduling pass visits each shape of an
+account once instead of each job.
 """
 
 import collections
@@ -13,17 +13,18 @@
 from laburnumsill.state import placements
 
 Shape = tuple[int, int, int, int, str]
-"""Tasks, and for each accelerators, cores and memory; and adjacency."""
+"""Number of tasks; accelerators, cores and memory of a task; adjacency."""
 
 LARGE = 8
-"""Accelerators from which a job counts as a large gang, hard to fit in."""
+"""Accelerators from which a borrowing job counts as large: it seldom fits
+into the free slots, so that running jobs are drained for it."""
 
 Order = tuple[bool, int, str]
-"""Not urgent, sequence of submission, job id."""
+"""Sort key of queued jobs: not urgent, sequence of submission, job id."""
 
 
 def shape_of(job: placements.Job) -> Shape:
-    """Returns what a job needs, without regard to how long."""
+    """Returns the shape of a job's demand, without its run time."""
     spec = job.spec
     return (
         spec.tasks,
@@ -35,18 +36,18 @@
 
 
 def order_of(job: placements.Job) -> Order:
-    """Returns a job's place among those of its shape."""
+    """Returns a job's sort key among the jobs of its shape."""
     return not job.spec.urgent, job.sequence, job.job_id
 
 
 def is_large(job: placements.Job) -> bool:
-    """Returns whether a job borrows so much that slots are drained for it."""
+    """Returns whether a job borrows at least `LARGE` accelerators."""
     spec = job.spec
     return not spec.guaranteed and spec.total_accelerators >= LARGE
 
 
 class Line:
-    """The waiting jobs of one account, guaranteed or borrowing."""
+    """The queue of one account's guaranteed or of its borrowing jobs."""
 
     def __init__(self) -> None:
         self._shapes: dict[Shape, sortedcontainers.SortedList] = {}
@@ -69,10 +70,10 @@
         self._length += 1
 
     def remove(self, job: placements.Job) -> None:
-        """Takes a job out.
+        """Removes a job.
 
         Raises:
-            ValueError: The job is not in this line.
+            ValueError: The job is not in this queue.
         """
         shape = shape_of(job)
         group = self._shapes[shape]
@@ -86,25 +87,25 @@
 
     @property
     def shapes(self) -> abc.KeysView[Shape]:
-        """The shapes that wait in this line."""
+        """The shapes of the jobs in this queue."""
         return self._shapes.keys()
 
     def first(self, shape: Shape) -> str | None:
-        """Returns the first job of a shape, or None."""
+        """Returns the id of the first job of a shape, or None."""
         group = self._shapes.get(shape)
         return group[0][2] if group else None
 
     def heads(self) -> abc.Iterator[tuple[Shape, str]]:
-        """Yields each shape with its first job id, the oldest first."""
+        """Yields each shape with its first job's id, ordered by that job."""
         for order, shape in self._heads:
             yield shape, order[2]
 
 
 class Queue:
-    """All lines of a domain."""
+    """All account queues of a domain."""
 
     def __init__(self) -> None:
-        self._lines: dict[tuple[bool, str], Line] = {}
+        self._account_queues: dict[tuple[bool, str], Line] = {}
         self._length = 0
         self._accelerators = 0
         self._cores = 0
@@ -117,30 +118,30 @@
 
     @property
     def accelerators(self) -> int:
-        """The accelerators that all waiting jobs ask for."""
+        """The accelerators that all queued jobs request."""
         return self._accelerators
 
     @property
     def cores(self) -> int:
-        """The cores that all waiting jobs ask for."""
+        """The cores that all queued jobs request."""
         return self._cores
 
     def add(self, job: placements.Job) -> None:
-        """Adds a job to its line."""
+        """Adds a job to its account queue."""
         key = job.spec.guaranteed, job.spec.account
-        self._lines.setdefault(key, Line()).add(job)
+        self._account_queues.setdefault(key, Line()).add(job)
         if not job.spec.guaranteed:
             self._borrowing[shape_of(job)] += 1
             self._by_size(job).add((job.sequence, job.job_id))
         self._count(job, 1)
 
     def remove(self, job: placements.Job) -> None:
-        """Takes a job out of its line."""
+        """Removes a job from its account queue."""
         key = job.spec.guaranteed, job.spec.account
-        line = self._lines[key]
+        line = self._account_queues[key]
         line.remove(job)
         if not line:
-            del self._lines[key]
+            del self._account_queues[key]
         if not job.spec.guaranteed:
             shape = shape_of(job)
             self._borrowing[shape] -= 1
@@ -150,29 +151,33 @@
         self._count(job, -1)
 
     def borrowing_shapes(self) -> abc.KeysView[Shape]:
-        """Returns the shapes of all borrowing jobs that wait."""
+        """Returns the shapes of all queued borrowing jobs."""
         return self._borrowing.keys()
 
     def large(self) -> abc.Iterator[str]:
-        """Yields the large borrowing jobs that wait, the oldest first."""
+        """Yields the ids of queued large borrowing jobs, the oldest first."""
         for _, job_id in self._large:
             yield job_id
 
     def oldest_small(self) -> str | None:
-        """Returns the oldest small borrowing job that waits, or None."""
+        """Returns the id of the oldest queued small borrowing job, or None."""
         return self._small[0][1] if self._small else None
 
     def accounts(self, guaranteed: bool) -> list[str]:
-        """Returns the accounts with a line of that kind."""
-        return [name for kind, name in self._lines if kind == guaranteed]
+        """Returns the accounts with queued guaranteed or borrowing jobs."""
+        return [
+            name for kind, name in self._account_queues if kind == guaranteed
+        ]
 
     def line(self, guaranteed: bool, account: str) -> Line | None:
-        """Returns a line, or None where nothing waits."""
-        return self._lines.get((guaranteed, account))
+        """Returns an account queue, or None if it is empty."""
+        return self._account_queues.get((guaranteed, account))
 
     def length(self, account: str) -> int:
-        """Returns how many jobs of an account wait."""
-        lines = (self._lines.get((kind, account)) for kind in (True, False))
+        """Returns the number of an account's queued jobs."""
+        lines = (
+            self._account_queues.get((kind, account)) for kind in (True, False)
+        )
         return sum(len(line) for line in lines if line is not None)
 
     def _by_size(self, job: placements.Job) -> sortedcontainers.SortedList:
--- a/laburnumsill/state/jobs_snapshot.py
+++ b/laburnumsill/state/jobs_snapshot.py
@@ -1,4 +1,4 @@
-"""What a snapshot holds of a job ledger; all else is derived from it."""
+"""Snapshot records of a job ledger; all other state is derived from them."""
 
 import dataclasses
 
@@ -13,7 +13,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyRecord:
-    """The home that was chosen for a submission key."""
+    """The home domain recorded for a submission's idempotency key.
+
+    Attributes:
+        domain: The home domain.
+        digest: Digest of the submission.
+        recorded_at: Wall time of the record.
+    """
 
     domain: str
     digest: str
@@ -22,7 +28,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkerState:
-    """What a snapshot holds of a worker; the rest is derived."""
+    """Stored state of a worker, see `workers.WorkerRecord`."""
 
     announced: members.Worker
     failed_jobs: list[str]
@@ -34,7 +40,7 @@
 @codec.register("jobs.ledger")
 @dataclasses.dataclass(frozen=True, slots=True)
 class LedgerDump:
-    """The whole state of a ledger."""
+    """Snapshot of a `jobs.JobLedger`."""
 
     jobs: list[placements.Job]
     workers: list[WorkerState]
@@ -48,7 +54,7 @@
 
 
 def worker_state(record: workers.WorkerRecord) -> WorkerState:
-    """Returns what a snapshot holds of a worker."""
+    """Returns the stored state of a worker."""
     return WorkerState(
         record.announced,
         **{name: getattr(record, name) for name in _HEALTH},
@@ -56,7 +62,7 @@
 
 
 def worker_record(state: WorkerState) -> workers.WorkerRecord:
-    """Returns the record of a worker with nothing on it."""
+    """Returns a worker's record without tasks and reservations."""
     return workers.WorkerRecord(
         state.announced,
         **{name: getattr(state, name) for name in _HEALTH},
--- a/laburnumsill/state/placements.py
+++ b/laburnumsill/state/placements.py
@@ -1,4 +1,4 @@
-"""Jobs and their placements as the ledger keeps them."""
+"""The ledger's records of jobs and placements."""
 
 import dataclasses
 
@@ -11,14 +11,14 @@
     """One try to run a job: the slots of its tasks under one epoch.
 
     Attributes:
-        epoch: The fencing epoch; grows with each placement of the job.
-        slots: The place of each task.
-        placed_at: Wall time of its commit.
-        running: Whether every member has prepared.
-        stopping: Why it was given up, or None.
-        lease_bound: Wall time after which no lease of it is valid; set when
-            it is stopped.
-        checkpoint_until: Wall time up to which its tasks may save work.
+        epoch: The fencing epoch, one more with each placement of the job.
+        slots: The slot of each task.
+        placed_at: Wall time of the proposal.
+        running: Whether all tasks were prepared and may run.
+        stopping: Reason why the placement is being stopped, or None.
+        lease_bound: Wall time after which no lease of its tasks is valid;
+            set when the placement is stopped.
+        checkpoint_until: Wall time up to which its tasks may checkpoint.
     """
 
     epoch: int
@@ -31,21 +31,32 @@
 
     @property
     def safe_at(self) -> float:
-        """Wall time from which its leases have certainly ended."""
+        """Wall time from which all leases of its tasks have expired."""
         return self.lease_bound + clock.MAX_CLOCK_DRIFT_S
 
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """A job and what became of it so far.
+    """Record of a job.
 
     Attributes:
-        sequence: Its place in the order of submission to the domain.
-        hopeless: Whether it ends as failed once its placement has ended.
+        job_id: The job's id.
+        digest: Digest of the submission.
+        spec: The requested resources.
+        sequence: Position in the order of submission to the domain.
+        submitted_at: Wall time of the submission.
+        queued_at: Wall time at which the job was last queued.
+        state: The job's state.
+        reason: Reason of the last stop or of the end.
+        epoch: Fencing epoch of the last placement, 0 before the first.
+        placement: The present placement, or None.
+        hold: Slots reserved for the queued job, or ().
+        hopeless: Whether the limit of failed tries is reached; the job ends
+            as failed when its placement is released.
         failed_on: The worker of each failed try.
-        hold: Slots kept for it until they are free, or ().
-        interruptions: How often it was stopped through no fault of its own.
-        queued_at: Since when it waits, wall time.
+        interruptions: Number of stops that were not faults of the job.
+        started_at: Wall time at which its tasks last started to run.
+        ended_at: Wall time of its end.
     """
 
     job_id: str
@@ -67,22 +78,22 @@
 
     @property
     def slots(self) -> tuple[jobs_messages.Slot, ...]:
-        """The slots of its placement, or () without one."""
+        """The slots of the job's placement, or () without one."""
         return self.placement.slots if self.placement else ()
 
     @property
-    def stoppable(self) -> bool:
-        """Whether it borrows and runs, so that a claim may stop it."""
+    def preemptible(self) -> bool:
+        """Whether the job is placed on borrowed slots and may be preempted."""
         placement = self.placement
         return placement is not None and not self.spec.guaranteed
 
     @property
     def ended(self) -> bool:
-        """Whether it will never run again."""
+        """Whether the job has ended and never runs again."""
         return self.state in jobs_messages.ENDED
 
     def view(self, domain: str) -> jobs_messages.JobView:
-        """Returns the job as it is shown to its owner."""
+        """Returns the view of the job for its owner."""
         return jobs_messages.JobView(
             job_id=self.job_id,
             account=self.spec.account,
@@ -101,7 +112,7 @@
 
 
 def task_id(job_id: str, epoch: int, member: int) -> str:
-    """Returns the name of a task on its worker.
+    """Returns the id of a task on its worker.
 
     Examples:
         >>> task_id("north.5f", 2, 0)
--- a/laburnumsill/state/tests/ledger_checks.py
+++ b/laburnumsill/state/tests/ledger_checks.py
@@ -1,4 +1,4 @@
-"""Invariants of a job ledger, worked out again from jobs and workers alone."""
+"""Invariants of a job ledger, computed from its jobs and workers only."""
 
 import itertools
 
@@ -60,7 +60,7 @@
 
 
 def check_states(book):
-    """A job waits, has a placement or has ended: none is lost."""
+    """Each job is queued, has a placement or has ended."""
     waiting = 0
     for job in book.jobs.values():
         assert (job.placement is not None) == (job.state in PLACED), job
@@ -71,23 +71,23 @@
         unsettled = job.state in PLACED - {State.RUNNING}
         assert (job.job_id in book.unsettled) == unsettled
     assert len(book.queue) == waiting
-    lines = sum(
+    queued = sum(
         len(book.queue.line(kind, account) or ())
         for kind in (True, False)
         for account in book.queue.accounts(kind)
     )
-    assert lines == waiting
+    assert queued == waiting
 
 
 def check_cells(book):
-    """Bound cells are disjoint, used, and hold all guaranteed tasks."""
-    taken, users = {}, set()
+    """Bound cells are disjoint and used, and contain all guaranteed tasks."""
+    bound_masks, unused = {}, set()
     for account, bound in book.cells.bound.items():
         for cell in bound:
             for name, mask in masks_of(book, cell).items():
-                assert not taken.get(name, 0) & mask, cell
-                taken[name] = taken.get(name, 0) | mask
-            users.add((account, cell))
+                assert not bound_masks.get(name, 0) & mask, cell
+                bound_masks[name] = bound_masks.get(name, 0) | mask
+            unused.add((account, cell))
     for job in book.jobs.values():
         if not job.spec.guaranteed:
             continue
@@ -97,9 +97,9 @@
                 mask = masks_of(book, cell).get(slot.worker_id, 0)
                 own |= mask
                 if mask & slot.mask:
-                    users.discard((job.spec.account, cell))
+                    unused.discard((job.spec.account, cell))
             assert not slot.mask & ~own, (job, slot)
-    assert not users, f"bound and not used: {users}"
+    assert not unused, f"bound and not used: {unused}"
 
 
 def masks_of(book, cell):
@@ -115,24 +115,24 @@
 
 
 def check_indexes(book):
-    """What is kept up to date equals what a rebuild would give."""
+    """Incrementally maintained totals equal recomputed ones."""
     for rack in book.pool.racks.values():
-        assert rack.keys == rack.sums()
+        assert rack.indexed_totals == rack.totals()
     assert book.pool.free_accelerators == sum(
         record.free_mask.bit_count()
         for record in book.pool.workers.values()
         if record.usable
     )
     for rack in book.pool.racks.values():
-        kept = book.cells.supply(rack.name)
-        assert kept == book.cells._count(rack)
+        maintained = book.cells.supply(rack.name)
+        assert maintained == book.cells._count_supply(rack)
 
 
 def restorable(book):
-    """Returns whether each unbound guarantee finds whole cells, by search.
+    """Returns whether hardware suffices for all unbound cells, by search.
 
-    Everything but bound cells and unusable workers counts as free: what
-    runs there is borrowed and can be stopped.
+    All hardware outside bound cells and unusable workers counts as free:
+    the jobs on it are borrowing jobs and can be preempted.
     """
     bound = {}
     for account in book.cells.bound.values():
@@ -159,8 +159,8 @@
             for name, mask in rest.items()
             if mask and mask == book.pool.workers[name].full_mask
         ]
-        for taken in itertools.combinations(full, whole):
-            left = [m for name, m in rest.items() if name not in taken]
+        for assigned in itertools.combinations(full, whole):
+            left = [m for name, m in rest.items() if name not in assigned]
             total = sum(mask.bit_count() for mask in left)
             in_pairs = sum(cells.whole_pairs(mask) for mask in left)
             if in_pairs >= pairs and total - 2 * pairs >= singles:
--- a/laburnumsill/state/tests/test_jobs.py
+++ b/laburnumsill/state/tests/test_jobs.py
@@ -14,7 +14,7 @@
 
 
 class Ledger:
-    """A ledger with two workers and one queued gang, j."""
+    """A ledger with some workers and the queued gang job `j`."""
 
     def __init__(self, workers=2, limit=10):
         self.ledger = jobs.JobLedger("north")
@@ -68,7 +68,7 @@
     assert one.do(messages.CancelJob, "j").state == State.SUCCEEDED
 
 
-def test_a_key_keeps_its_home():
+def test_the_first_recorded_home_of_a_key_stays():
     one = Ledger()
     assert one.do(messages.RecordHome, "k", "d", "north").domain == "north"
     assert one.do(messages.RecordHome, "k", "d", "south").domain == "north"
@@ -105,7 +105,7 @@
         one.do(messages.PlaceJob, "j", 2, SLOTS)
 
 
-def test_slots_are_freed_when_confirmed_or_when_leases_have_ended():
+def test_slots_are_freed_after_confirmation_or_lease_expiry():
     one = Ledger()
     one.run()
     one.do(messages.StopPlacement, "j", 1, Reason.WORKER_LOST)
@@ -120,7 +120,7 @@
     assert one.job().interruptions == 1
 
 
-def test_a_checkpoint_prolongs_what_leases_may_last():
+def test_a_checkpoint_extends_the_lease_bound():
     one = Ledger()
     one.run()
     one.do(
@@ -145,19 +145,19 @@
     assert leases.stopping == ("j",)
 
 
-def test_a_lost_or_restarted_worker_stops_what_ran_on_it():
+def test_the_restart_of_a_worker_stops_its_placements():
     one = Ledger()
     one.run()
-    again = ledger_checks.worker("w0", "r1", incarnation="2")
-    one.do(messages.PutWorkers, (again,), ())
+    restarted = ledger_checks.worker("w0", "r1", incarnation="2")
+    one.do(messages.PutWorkers, (restarted,), ())
     assert one.job().state == State.STOPPING
     one.do(messages.ReleasePlacement, "j", 1, True)
     assert "w0" not in one.ledger.book.pool.workers
-    one.do(messages.PutWorkers, (again,), ())
+    one.do(messages.PutWorkers, (restarted,), ())
     one.run()
 
 
-def test_bad_workers_are_told_from_bad_jobs():
+def test_faulty_workers_and_faulty_jobs_are_distinguished():
     one = Ledger(workers=4)
     single = dataclasses.replace(SPEC, tasks=1)
     for number in range(3):
@@ -182,7 +182,7 @@
     assert worker.asides == 0
 
 
-def test_failures_on_a_bad_worker_do_not_end_a_job():
+def test_failures_on_a_faulty_worker_do_not_end_a_job():
     one = Ledger()
     for _ in range(3):
         one.run()
@@ -193,7 +193,7 @@
     assert one.job().state == State.QUEUED
 
 
-def test_limits_and_retention():
+def test_queue_limit_and_retention_of_ended_jobs():
     one = Ledger(limit=1)
     with pytest.raises(errors.OverloadedError):
         one.submit("k")
@@ -206,7 +206,7 @@
     assert "j" not in one.ledger.book.jobs
 
 
-def test_held_slots_are_kept_for_their_job():
+def test_reserved_slots_are_refused_to_other_jobs():
     one = Ledger()
     one.submit("k", dataclasses.replace(SPEC, tasks=1))
     hold = (SLOTS, (), (), Reason.DRAINED, 0.0)
--- a/laburnumsill/state/tests/test_jobs_health.py
+++ b/laburnumsill/state/tests/test_jobs_health.py
@@ -1,4 +1,4 @@
-"""Telling bad workers from bad jobs, step by step."""
+"""Attribution of failures to faulty workers or faulty jobs."""
 
 from laburnumsill.core import members
 from laburnumsill.state import jobs_health
@@ -10,7 +10,7 @@
 LIMITS = jobs_health.Limits(max_tries=3, bad_worker_jobs=3)
 
 
-def pool_of(*names):
+def new_pool(*names):
     pool = jobs_pool.Pool()
     for name in names:
         announced = members.Worker(
@@ -29,7 +29,7 @@
     return pool
 
 
-def jobs_of(count):
+def new_jobs(count):
     spec = jobs_messages.JobSpec("lakeside")
     return [
         placements.Job(f"j{n}", "", spec, n, submitted_at=0.0, queued_at=0.0)
@@ -38,62 +38,62 @@
 
 
 def fail(job, name, pool, now=0.0):
-    """Lets a job fail on a worker; returns who came back."""
-    back = jobs_health.blame_job(job, name, pool, LIMITS)
+    """Records a failure; returns the workers released from quarantine."""
+    released = jobs_health.blame_job(job, name, pool, LIMITS)
     jobs_health.blame_worker(job, pool.workers[name], LIMITS, now)
-    return back
+    return released
 
 
-def test_a_burst_of_bad_jobs_condemns_no_worker():
-    pool = pool_of("w0", "w1")
-    jobs = jobs_of(5)
+def test_a_burst_of_faulty_jobs_quarantines_no_worker():
+    pool = new_pool("w0", "w1")
+    jobs = new_jobs(5)
     for job in jobs:
         fail(job, "w0", pool)
     assert pool.workers["w0"].aside_until
-    back = [fail(job, "w1", pool) for job in jobs]
-    assert ["w0"] in back
+    released = [fail(job, "w1", pool) for job in jobs]
+    assert ["w0"] in released
     for worker in pool.workers.values():
         assert worker.usable
         assert not worker.asides
         assert not worker.failed_jobs
-    assert jobs_health.is_hopeless(jobs[0], pool, LIMITS) is False
+    assert jobs_health.tries_exhausted(jobs[0], pool, LIMITS) is False
     fail(jobs[0], "w1", pool)
-    assert jobs_health.is_hopeless(jobs[0], pool, LIMITS)
+    assert jobs_health.tries_exhausted(jobs[0], pool, LIMITS)
 
 
-def test_two_bad_workers_are_set_aside_once_their_jobs_succeed_elsewhere():
-    pool = pool_of("w0", "w1", "w2")
-    for job in jobs_of(3):
+def test_faulty_workers_are_quarantined_once_their_jobs_succeed_elsewhere():
+    pool = new_pool("w0", "w1", "w2")
+    for job in new_jobs(3):
         fail(job, "w0", pool)
         fail(job, "w1", pool)
         assert pool.workers["w0"].usable
-        jobs_health.praise(pool.workers["w2"])
-        jobs_health.acquit(job, pool, LIMITS, 1.0)
+        jobs_health.record_success(pool.workers["w2"])
+        jobs_health.reassign_failures(job, pool, LIMITS, 1.0)
     assert not pool.workers["w0"].usable
     assert not pool.workers["w1"].usable
     assert pool.workers["w2"].usable
 
 
-def test_a_worker_on_trial_is_set_aside_by_one_failure():
-    pool = pool_of("w0", "w1")
+def test_a_worker_on_probation_is_quarantined_by_one_failure():
+    pool = new_pool("w0", "w1")
     worker = pool.workers["w0"]
-    jobs = jobs_of(4)
+    jobs = new_jobs(4)
     for job in jobs[:3]:
         fail(job, "w0", pool)
-    jobs_health.give_trial(worker)
+    jobs_health.begin_probation(worker)
     assert worker.usable
     fail(jobs[3], "w0", pool, now=100.0)
-    assert worker.aside_until == 100.0 + 2 * jobs_health.ASIDE_S
+    assert worker.aside_until == 100.0 + 2 * jobs_health.QUARANTINE_S
     assert fail(jobs[3], "w1", pool) == ["w0"]
     assert worker.asides == 1
 
 
-def test_a_worker_that_gives_no_answer_is_set_aside_by_one_job():
-    worker = pool_of("w0").workers["w0"]
-    (job,) = jobs_of(1)
-    aside = [
-        jobs_health.blame_worker(job, worker, LIMITS, 0.0, silent=True)
+def test_a_worker_that_does_not_answer_is_quarantined_by_one_job():
+    worker = new_pool("w0").workers["w0"]
+    (job,) = new_jobs(1)
+    quarantined = [
+        jobs_health.blame_worker(job, worker, LIMITS, 0.0, unanswered=True)
         for _ in range(LIMITS.bad_worker_jobs)
     ]
-    assert aside == [False, False, True]
+    assert quarantined == [False, False, True]
     assert not job.failed_on
--- a/laburnumsill/state/workers.py
+++ b/laburnumsill/state/workers.py
@@ -1,4 +1,4 @@
-"""A domain's workers and what is free on each."""
+"""Records of a domain's workers, with the free capacity of each."""
 
 import dataclasses
 import functools
@@ -9,8 +9,13 @@
 
 
 @dataclasses.dataclass(slots=True)
-class OnWorker:
-    """What one job has on a worker: accelerators and number of tasks."""
+class JobShare:
+    """One job's share of a worker.
+
+    Attributes:
+        mask: Accelerators that the job has, bit i for accelerator i.
+        count: Number of its tasks.
+    """
 
     mask: int = 0
     count: int = 0
@@ -18,23 +23,23 @@
 
 @dataclasses.dataclass(slots=True)
 class WorkerRecord:
-    """A worker and what is in use on it.
+    """A worker with its use, its reservations and its health.
 
     Attributes:
-        announced: What the worker said of itself.
+        announced: The worker's latest announcement.
         used_mask: Accelerators in use, bit i for accelerator i.
         used_cores: Cores in use.
         used_memory_gb: Memory in use.
-        gone: Whether it has left or was lost; it is kept while a placement
-            on it may still run.
-        tasks: What each job has on it.
-        holds: Accelerators held for a job that is about to be placed.
-        held_mask: All accelerators held.
-        held_cores: Cores held.
-        held_memory_gb: Memory held.
-        failed_jobs: Jobs that failed on it since its last success.
-        aside_until: Wall time until which it is set aside, 0 if it is not.
-        asides: How often in a row it was set aside.
+        gone: Whether the worker has left or was lost; its record is kept
+            while a placement on it may still run.
+        tasks: The share of each job that is placed on the worker, by job id.
+        holds: Mask of the accelerators reserved for each job, by job id.
+        held_mask: All reserved accelerators.
+        held_cores: Reserved cores.
+        held_memory_gb: Reserved memory.
+        failed_jobs: Jobs that failed on the worker since its last success.
+        aside_until: Wall time at which its quarantine ends, 0 without one.
+        asides: Number of consecutive quarantines, at most 16.
     """
 
     announced: members.Worker
@@ -42,7 +47,7 @@
     used_cores: int = 0
     used_memory_gb: int = 0
     gone: bool = False
-    tasks: dict[str, OnWorker] = dataclasses.field(default_factory=dict)
+    tasks: dict[str, JobShare] = dataclasses.field(default_factory=dict)
     holds: dict[str, int] = dataclasses.field(default_factory=dict)
     held_mask: int = 0
     held_cores: int = 0
@@ -53,35 +58,38 @@
 
     @property
     def usable(self) -> bool:
-        """Whether it may get new tasks."""
+        """Whether the worker may get new tasks."""
         return not (self.gone or self.announced.leaving or self.aside_until)
 
     @property
     def full_mask(self) -> int:
-        """All its accelerators."""
+        """Mask of all accelerators of the worker."""
         return (1 << self.announced.accelerators) - 1
 
     @property
     def free_mask(self) -> int:
-        """The accelerators neither in use nor held."""
+        """Mask of the accelerators neither in use nor reserved."""
         return self.full_mask & ~(self.used_mask | self.held_mask)
 
     @property
     def free_cores(self) -> int:
-        """The cores neither in use nor held."""
+        """The cores neither in use nor reserved."""
         return self.announced.cores - self.used_cores - self.held_cores
 
     @property
     def free_memory_gb(self) -> int:
-        """The memory neither in use nor held."""
+        """The memory in GB neither in use nor reserved."""
         own = self.announced.memory_gb
         return own - self.used_memory_gb - self.held_memory_gb
 
     def room(self, spec: jobs_messages.JobSpec) -> int:
-        """Returns how many tasks of `spec` fit now, usable or not."""
+        """Returns how many tasks of `spec` fit into the free capacity.
+
+        The result does not depend on whether the worker is usable.
+        """
         own = self.announced
         free = (1 << own.accelerators) - 1 & ~(self.used_mask | self.held_mask)
-        return _room(
+        return _task_count(
             spec,
             free.bit_count(),
             own.cores - self.used_cores - self.held_cores,
@@ -89,26 +97,26 @@
         )
 
     def footprint(self, spec: jobs_messages.JobSpec) -> int:
-        """Returns the accelerators that a task takes up here.
+        """Returns the accelerators that a task occupies on this worker.
 
-        A guaranteed task takes at least the accelerators that its cores and
-        memory are proportional to: it must leave to the other cells of the
-        worker what is theirs.
+        A guaranteed task occupies at least the accelerators that its cores
+        and memory are proportional to, so that the other cells of the worker
+        keep their share of cores and memory.
         """
         if not spec.guaranteed:
             return spec.accelerators
         own = self.announced
-        by_cores = _ceil(spec.cores * own.accelerators, own.cores)
-        by_memory = _ceil(spec.memory_gb * own.accelerators, own.memory_gb)
+        by_cores = _ceil_div(spec.cores * own.accelerators, own.cores)
+        by_memory = _ceil_div(spec.memory_gb * own.accelerators, own.memory_gb)
         return max(spec.accelerators, by_cores, by_memory)
 
     def size(self, spec: jobs_messages.JobSpec) -> int:
-        """Returns how many tasks of `spec` fit when it is empty."""
+        """Returns how many tasks of `spec` fit on the worker when empty."""
         own = self.announced
-        return _room(spec, own.accelerators, own.cores, own.memory_gb)
+        return _task_count(spec, own.accelerators, own.cores, own.memory_gb)
 
 
-def _room(
+def _task_count(
     spec: jobs_messages.JobSpec, accelerators: int, cores: int, memory_gb: int
 ) -> int:
     room = jobs_messages.MAX_TASKS
@@ -121,20 +129,21 @@
     return max(0, room)
 
 
-def _ceil(dividend: int, divisor: int) -> int:
+def _ceil_div(dividend: int, divisor: int) -> int:
     return -(-dividend // divisor) if divisor else 0
 
 
 @functools.lru_cache(maxsize=65_536)
 def choose_mask(free: int, count: int) -> int:
-    """Returns `count` of the free accelerators, breaking few whole blocks.
+    """Returns `count` of the free accelerators by best fit (buddy blocks).
 
-    Blocks are aligned pairs, fours, eights. The accelerators taken are those
-    whose largest free block is the smallest that will do.
+    Blocks are aligned pairs, fours and eights. The accelerators chosen are
+    those whose enclosing free block is smallest, so that few large free
+    blocks are split.
 
     Args:
         free: Mask of the free accelerators.
-        count: How many to take; at most as many as are free.
+        count: Number of accelerators to choose, at most the free ones.
 
     Examples:
         >>> bin(choose_mask(0b11110111, 1))
@@ -153,7 +162,7 @@
 
 
 def _blocks(free: int, size: int) -> abc.Iterator[int]:
-    """Yields each aligned block of `size` that is wholly free."""
+    """Yields the mask of each aligned block of `size` that is all free."""
     block = (1 << size) - 1
     while block <= free:
         if free & block == block:
