--- a/laburnumsill/state/cells.py
+++ b/laburnumsill/state/cells.py
@@ -13,7 +13,8 @@
 been released.
 
 Invariant: without the borrowing jobs, the unbound hardware suffices for all
-unbound cells. A binding that would increase the shortfall is refused.
+unbound cells. The accelerators missing for that are the shortfall, and a
+binding that would increase it is refused.
 
 References:
     H. Zhao et al., "HiveD: Sharing a GPU Cluster for Deep Learning with
@@ -109,7 +110,7 @@
 
     def demand(self) -> Numbers:
         """Returns the total number of unbound cells of each level."""
-        return _numbers(self._unbound_total)
+        return _cell_counts(self._unbound_total)
 
     def _recount_unbound(self) -> None:
         self._unbound = {}
@@ -123,7 +124,7 @@
         for cell in self.bound.get(account, ()):
             remaining[cell.level] -= 1
         old = self.unbound(account)
-        new = _numbers(max(0, number) for number in remaining)
+        new = _cell_counts(max(0, number) for number in remaining)
         self._unbound[account] = new
         for level in Level:
             self._unbound_total[level] += new[level] - old[level]
@@ -383,6 +384,6 @@
     return union
 
 
-def _numbers(values: abc.Iterable[int]) -> Numbers:
+def _cell_counts(values: abc.Iterable[int]) -> Numbers:
     accelerators, pairs, whole, racks = values
     return accelerators, pairs, whole, racks
--- a/laburnumsill/state/durable.py
+++ b/laburnumsill/state/durable.py
@@ -291,7 +291,11 @@
             record.work = None
 
     def _prune_ended(self, now: float) -> None:
-        """Removes expired records; a pending request's record is kept."""
+        """Removes expired records.
+
+        The record of a pending request stays; its expiry is indexed again
+        when the request ends.
+        """
         for _ in range(MAX_PRUNED_PER_COMMAND):
             if not self._by_forget_at or self._by_forget_at[0][0] > now:
                 return
--- a/laburnumsill/state/jobs.py
+++ b/laburnumsill/state/jobs.py
@@ -313,8 +313,8 @@
                 job, command.blamed, pool, limits
             ):
                 self._restore_worker(name)
-        suspect = command.reason != StopReason.OVER_USE
-        if worker is not None and suspect:
+        is_worker_suspect = command.reason != StopReason.OVER_USE
+        if worker is not None and is_worker_suspect:
             unanswered = command.reason == StopReason.UNREACHABLE
             quarantined = jobs_health.blame_worker(
                 job, worker, limits, command.now, unanswered
--- a/laburnumsill/state/jobs_book.py
+++ b/laburnumsill/state/jobs_book.py
@@ -361,20 +361,20 @@
         """Checks the slots of a job on one worker."""
         spec = job.spec
         worker = self.pool.workers[worker_id]
-        least = worker.footprint(spec) * count
-        wrong_size = mask.bit_count() != least
+        required = worker.footprint(spec) * count
+        wrong_size = mask.bit_count() != required
         if wrong_size or mask & ~worker.full_mask:
             raise jobs_checks.PlacementRefusedError(
-                f"mask {mask:b} of {worker_id!r} is not {least} accelerators"
+                f"mask {mask:b} of {worker_id!r} is not {required} accelerators"
             )
-        taken = self.guaranteed_mask(worker)
+        unavailable = self.guaranteed_mask(worker)
         if not may_be_in_use:
-            taken |= worker.used_mask
+            unavailable |= worker.used_mask
         if spec.guaranteed:
-            taken |= ~self.cells.owned_mask(spec.account, worker_id)
+            unavailable |= ~self.cells.owned_mask(spec.account, worker_id)
         else:
-            taken |= worker.held_mask
-        if mask & taken:
+            unavailable |= worker.held_mask
+        if mask & unavailable:
             raise jobs_checks.PlacementRefusedError(
                 f"mask {mask:b} of {worker_id!r} is not free for {job.job_id}"
             )
--- a/laburnumsill/state/tests/test_configuration.py
+++ b/laburnumsill/state/tests/test_configuration.py
@@ -127,7 +127,9 @@
     @stateful.invariant()
     def each_version_is_accepted_once(self):
         assert sorted(self.accepted) == list(range(1, self.log.version + 1))
-        expected = [one.expected_version for one in self.accepted.values()]
+        expected = [
+            command.expected_version for command in self.accepted.values()
+        ]
         assert len(set(expected)) == len(expected)
 
 
--- a/laburnumsill/state/workers.py
+++ b/laburnumsill/state/workers.py
@@ -119,14 +119,14 @@
 def _task_count(
     spec: jobs_messages.JobSpec, accelerators: int, cores: int, memory_gb: int
 ) -> int:
-    room = jobs_messages.MAX_TASKS
+    count = jobs_messages.MAX_TASKS
     if spec.accelerators:
-        room = min(room, accelerators // spec.accelerators)
+        count = min(count, accelerators // spec.accelerators)
     if spec.cores:
-        room = min(room, cores // spec.cores)
+        count = min(count, cores // spec.cores)
     if spec.memory_gb:
-        room = min(room, memory_gb // spec.memory_gb)
-    return max(0, room)
+        count = min(count, memory_gb // spec.memory_gb)
+    return max(0, count)
 
 
 def _ceil_div(dividend: int, divisor: int) -> int:
@@ -153,9 +153,9 @@
     """
     size = 1 << max(0, count - 1).bit_length()
     if size == count and count > 1:
-        whole = [b for b in _blocks(free, size) if b]
-        if whole:
-            return min(whole, key=lambda b: (_enclosing(free, b), b))
+        free_blocks = [b for b in _blocks(free, size) if b]
+        if free_blocks:
+            return min(free_blocks, key=lambda b: (_enclosing(free, b), b))
     bits = [1 << i for i in range(free.bit_length()) if free >> i & 1]
     bits.sort(key=lambda bit: (_enclosing(free, bit), bit))
     return sum(bits[:count])
