--- a/laburnumsill/state/cells.py
+++ b/laburnumsill/state/cells.py
@@ -77,7 +77,7 @@
     accelerators: int = 0
 
 
-class CellBook:
+class CellAllocator:
     """The guarantees of a domain, the bound cells and the unbound hardware.
 
     Attributes:
@@ -108,7 +108,7 @@
         """Returns the account's number of unbound cells of each level."""
         return self._unbound.get(account, NO_CELLS)
 
-    def demand(self) -> Numbers:
+    def total_unbound(self) -> Numbers:
         """Returns the total number of unbound cells of each level."""
         return _cell_counts(self._unbound_total)
 
@@ -137,7 +137,7 @@
         is split into pairs and single accelerators. This greedy assignment is
         optimal if all workers have the same size.
         """
-        racks, whole_workers, pairs, singles = reversed(self.demand())
+        racks, whole_workers, pairs, singles = reversed(self.total_unbound())
         sizes = self._sizes.copy()
         free_pairs = self._pairs
         free = self._accelerators
@@ -211,11 +211,11 @@
         """Unbinds a cell; it counts as unbound in the guarantee again."""
         self._remove_cell(account, cell)
 
-    def forget_worker(self, worker_id: str) -> None:
+    def remove_worker(self, worker_id: str) -> None:
         """Removes a worker that has left and has no tasks."""
         self._owned.pop(worker_id, None)
 
-    def covers(self, cell: Cell, worker_id: str, mask: int) -> bool:
+    def overlaps(self, cell: Cell, worker_id: str, mask: int) -> bool:
         """Returns whether a cell contains some of a worker's accelerators."""
         if cell.level == Level.RACK:
             worker = self._pool.workers.get(worker_id)
--- a/laburnumsill/state/claim_records.py
+++ b/laburnumsill/state/claim_records.py
@@ -22,7 +22,13 @@
 
 
 class ClaimState(enum.StrEnum):
-    """State of a request that is not repeatable."""
+    """State of a request that is not repeatable.
+
+    IN_PROGRESS: an attempt holds the claim.
+    ANSWERED: the backend server has answered.
+    UNKNOWN: the request may or may not have run.
+    NOT_RUN: the request has not run; another attempt may claim it.
+    """
 
     IN_PROGRESS = "in-progress"
     ANSWERED = "answered"
--- a/laburnumsill/state/claims.py
+++ b/laburnumsill/state/claims.py
@@ -9,7 +9,7 @@
 - A claim is granted if its key has no record or its last attempt ended as
   not run.
 - An attempt that has ended is never granted a claim, even if its
-  `ClaimRequest` is applied late: a `SettleRequest` for an unknown attempt
+  `ClaimRequest` is applied late: a `SettleRequest` that is applied first
   records the end of the attempt, and the late `ClaimRequest` is refused.
 - A claim that is in progress, answered or unknown is never granted to
   another attempt. A claim past its deadline reads as unknown; the VM of its
--- a/laburnumsill/state/configuration.py
+++ b/laburnumsill/state/configuration.py
@@ -269,7 +269,7 @@
         self, version: int
     ) -> list[configuration_versions.VersionStep] | None:
         """Returns the steps after `version`, None if not all are stored."""
-        return self._steps.since(version)
+        return self._steps.steps_after(version)
 
     def read_version(
         self, query: ReadVersion
@@ -297,7 +297,7 @@
             ConfigurationSnapshot(
                 list(self._answers),
                 configuration_versions.omit_derivable_bodies(self._bodies),
-                self._steps.all(),
+                self._steps.to_list(),
             )
         )
 
--- a/laburnumsill/state/configuration_versions.py
+++ b/laburnumsill/state/configuration_versions.py
@@ -97,9 +97,9 @@
         >>> for version in (7, 8):
         ...     change = difference.Difference()
         ...     steps.add(VersionStep(version, "", "ann", 0.0, change))
-        >>> [step.version for step in steps.since(7)]
+        >>> [step.version for step in steps.steps_after(7)]
         [8]
-        >>> steps.since(5) is None
+        >>> steps.steps_after(5) is None
         True
     """
 
@@ -123,11 +123,11 @@
         self._steps.clear()
         self._size = 0
 
-    def all(self) -> list[VersionStep]:
+    def to_list(self) -> list[VersionStep]:
         """Returns all stored steps, the oldest first."""
         return list(self._steps)
 
-    def since(self, version: int) -> list[VersionStep] | None:
+    def steps_after(self, version: int) -> list[VersionStep] | None:
         """Returns the steps after `version`, None if not all are stored."""
         if not self._steps or version + 1 < self._steps[0].version:
             return None
@@ -151,7 +151,7 @@
     """
     if current is None or current.version <= version:
         return ConfigurationUpdate()
-    recent = steps.since(version) if version else None
+    recent = steps.steps_after(version) if version else None
     if recent and sum(step.change.size for step in recent) < len(current.body):
         return ConfigurationUpdate(steps=recent)
     return ConfigurationUpdate(whole=current)
--- a/laburnumsill/state/jobs.py
+++ b/laburnumsill/state/jobs.py
@@ -137,7 +137,7 @@
     def _record_home(
         self, command: jobs_messages.RecordHome
     ) -> jobs_messages.Home:
-        self._forget_keys(command.now)
+        self._prune_keys(command.now)
         home = self._get_home(
             jobs_messages.GetHome(command.key, command.digest)
         )
@@ -151,7 +151,7 @@
     def _submit(
         self, command: jobs_messages.SubmitJob
     ) -> jobs_messages.JobView:
-        self._forget_jobs(command.now)
+        self._prune_jobs(command.now)
         known = self.book.jobs.get(command.job_id)
         if known is not None:
             if known.digest != command.digest:
@@ -272,7 +272,7 @@
                     f"{victim.job_id} is guaranteed and is not stopped"
                 )
         if job.hold != command.slots:
-            self.book.hold(job, command.slots, command.bind)
+            self.book.reserve(job, command.slots, command.bind)
         for victim in victims:
             if victim is not None and victim.placement is not None:
                 self._begin_stop(
@@ -280,7 +280,7 @@
                 )
 
     def _drop_hold(self, command: jobs_messages.DropHold) -> None:
-        self.book.drop_hold(self.book.get(command.job_id))
+        self.book.cancel_reservation(self.book.get(command.job_id))
 
     def _started(self, command: jobs_messages.JobStarted) -> None:
         job = self._job_at_epoch(command.job_id, command.epoch)
@@ -345,7 +345,7 @@
             raise jobs_checks.PlacementRefusedError(
                 f"leases of {job.job_id} may last to {placement.safe_at}"
             )
-        self.book.vacate(job)
+        self.book.release_slots(job)
         if job.state == JobState.CANCELLING:
             self._end_job(job, JobState.CANCELLED, "cancelled", command.now)
         elif job.hopeless:
@@ -373,7 +373,7 @@
             job, self.book.pool, limits, command.now
         ):
             self.book.worker_changed(name)
-        self.book.vacate(job)
+        self.book.release_slots(job)
         self._end_job(job, JobState.SUCCEEDED, "", command.now)
 
     def _extend_leases(
@@ -424,11 +424,11 @@
         self.book.end(job, state, reason, now)
         self._ended.append((now, job.job_id))
 
-    def _forget_jobs(self, now: float) -> None:
+    def _prune_jobs(self, now: float) -> None:
         while self._ended and self._ended[0][0] < now - JOB_RETENTION_S:
-            self.book.forget(self._ended.popleft()[1])
+            self.book.remove(self._ended.popleft()[1])
 
-    def _forget_keys(self, now: float) -> None:
+    def _prune_keys(self, now: float) -> None:
         for key, record in list(self.keys.items())[:8]:
             if record.recorded_at >= now - KEY_RETENTION_S:
                 return
--- a/laburnumsill/state/jobs_book.py
+++ b/laburnumsill/state/jobs_book.py
@@ -58,14 +58,14 @@
     def __init__(self) -> None:
         self.jobs: dict[str, placements.Job] = {}
         self.pool = jobs_pool.Pool()
-        self.cells = cells_module.CellBook(self.pool)
+        self.cells = cells_module.CellAllocator(self.pool)
         self.queue = jobs_queue.Queue()
         self.live: dict[str, placements.Job] = {}
         self.unsettled: dict[str, placements.Job] = {}
         self.held: dict[str, placements.Job] = {}
         self.use: dict[str, Use] = {}
         self.large_in_use = 0
-        self._cell_users: dict[jobs_messages.Cell, set[str]] = {}
+        self._jobs_by_cell: dict[jobs_messages.Cell, set[str]] = {}
 
     def get(self, job_id: str) -> placements.Job:
         """Returns a job.
@@ -83,7 +83,7 @@
         self.jobs[job.job_id] = job
         self.queue.add(job)
 
-    def forget(self, job_id: str) -> None:
+    def remove(self, job_id: str) -> None:
         """Removes a job that has ended."""
         del self.jobs[job_id]
 
@@ -117,7 +117,7 @@
         job.state = JobState.PREPARING
         self._occupy(job)
 
-    def hold(
+    def reserve(
         self,
         job: placements.Job,
         slots: tuple[jobs_messages.Slot, ...],
@@ -139,7 +139,7 @@
         self.held[job.job_id] = job
         self.pool.reserve(job.job_id, job.spec, slots)
 
-    def drop_hold(self, job: placements.Job) -> None:
+    def cancel_reservation(self, job: placements.Job) -> None:
         """Cancels the reservation of a job, if any."""
         if not job.hold:
             return
@@ -189,7 +189,7 @@
         job.reason = str(reason)
         self.unsettled[job.job_id] = job
 
-    def vacate(self, job: placements.Job) -> None:
+    def release_slots(self, job: placements.Job) -> None:
         """Frees the slots of a job's placement."""
         slots = job.slots
         self.pool.release(job.job_id, job.spec, slots)
@@ -213,7 +213,7 @@
         """Ends a job without a placement."""
         if job.state == JobState.QUEUED:
             self.queue.remove(job)
-        self.drop_hold(job)
+        self.cancel_reservation(job)
         job.state = state
         job.reason = reason
         job.ended_at = now
@@ -236,7 +236,7 @@
         """Marks a worker as gone; it is removed once no task is on it."""
         worker = self.pool.workers[worker_id]
         for job_id in list(worker.holds):
-            self.drop_hold(self.jobs[job_id])
+            self.cancel_reservation(self.jobs[job_id])
         worker.gone = True
         self.worker_changed(worker_id)
         self._remove_if_gone(worker_id)
@@ -258,7 +258,7 @@
         self.held = {}
         self.use = {}
         self.large_in_use = 0
-        self._cell_users = {}
+        self._jobs_by_cell = {}
         for job in self.jobs.values():
             if job.state == JobState.QUEUED:
                 self.queue.add(job)
@@ -337,7 +337,7 @@
         if spec.guaranteed:
             for worker_id, (mask, _) in masks.items():
                 for other in self.borrowers_with_holds(worker_id, mask):
-                    self.drop_hold(self.jobs[other])
+                    self.cancel_reservation(self.jobs[other])
             self._use_cells(job, slots)
 
     def _check_binding(
@@ -396,7 +396,7 @@
         if not job.spec.guaranteed:
             return
         for cell in self._cells_of(job, slots):
-            self._cell_users.setdefault(cell, set()).add(job.job_id)
+            self._jobs_by_cell.setdefault(cell, set()).add(job.job_id)
 
     def _release_cells(
         self,
@@ -410,10 +410,10 @@
         for cell in self._cells_of(job, slots):
             if cell in kept:
                 continue
-            users = self._cell_users.get(cell, set())
+            users = self._jobs_by_cell.get(cell, set())
             users.discard(job.job_id)
             if not users:
-                self._cell_users.pop(cell, None)
+                self._jobs_by_cell.pop(cell, None)
                 self.cells.unbind(job.spec.account, cell)
 
     def _cells_of(
@@ -426,7 +426,7 @@
         found = []
         for cell in self.cells.bound.get(job.spec.account, ()):
             if any(
-                self.cells.covers(cell, worker_id, mask)
+                self.cells.overlaps(cell, worker_id, mask)
                 for worker_id, mask in masks.items()
             ):
                 found.append(cell)
@@ -437,5 +437,5 @@
         if worker is None or not worker.gone or worker.tasks:
             return
         self.pool.remove(worker_id)
-        self.cells.forget_worker(worker_id)
+        self.cells.remove_worker(worker_id)
         self.cells.refresh(worker.announced.rack)
--- a/laburnumsill/state/tests/ledger_checks.py
+++ b/laburnumsill/state/tests/ledger_checks.py
@@ -139,7 +139,7 @@
         for cell in account:
             for name, mask in masks_of(book, cell).items():
                 bound[name] = bound.get(name, 0) | mask
-    singles, pairs, whole, racks = book.cells.demand()
+    singles, pairs, whole, racks = book.cells.total_unbound()
     free, by_rack, whole_racks = {}, {}, []
     for name, record in book.pool.workers.items():
         by_rack.setdefault(record.announced.rack, []).append(name)
