--- a/laburnumsill/state/claim_records.py
+++ b/laburnumsill/state/claim_records.py
@@ -92,8 +92,8 @@
         outcome: Any state but `ClaimState.IN_PROGRESS`.
         answer: The complete answer, or None if there is none to store.
         now: Wall time of the proposal.
-        forget_at: Wall time at which the record expires; that of a request
-            that was not run expires after `NOT_RUN_RETENTION_S`.
+        forget_at: Wall time at which the record expires, unless the request
+            was not run: such a record expires after `NOT_RUN_RETENTION_S`.
     """
 
     key: str
--- a/laburnumsill/state/durable.py
+++ b/laburnumsill/state/durable.py
@@ -86,8 +86,8 @@
         work: The request to send.
         now: Wall time of the proposal.
         deadline: Wall time after which the request expires.
-        forget_at: Wall time after which the record is pruned once the
-            request has ended.
+        forget_at: Wall time of the record's expiry; a pending request's
+            record stays, and `EndDurable` sets a new expiry.
     """
 
     key: str
--- a/laburnumsill/state/jobs.py
+++ b/laburnumsill/state/jobs.py
@@ -486,7 +486,8 @@
 def same_worker(one: members.Worker, other: members.Worker) -> bool:
     """Returns whether two announcements describe the same worker.
 
-    They differ if the worker has restarted or its resources have changed.
+    They do not if the worker has restarted, or its rack or resources have
+    changed.
     """
     return (
         one.incarnation == other.incarnation
--- a/laburnumsill/state/jobs_messages.py
+++ b/laburnumsill/state/jobs_messages.py
@@ -232,7 +232,7 @@
 @codec.register("jobs.hold")
 @dataclasses.dataclass(frozen=True, slots=True)
 class HoldSlots:
-    """Command that reserves slots for a queued job and preempts others.
+    """Command that reserves slots for a queued job and stops its victims.
 
     Attributes:
         epoch: The job's present epoch.
--- a/laburnumsill/state/tests/test_jobs_health.py
+++ b/laburnumsill/state/tests/test_jobs_health.py
@@ -44,7 +44,7 @@
     return released
 
 
-def test_a_burst_of_faulty_jobs_quarantines_no_worker():
+def test_workers_quarantined_because_of_faulty_jobs_are_released():
     pool = new_pool("w0", "w1")
     jobs = new_jobs(5)
     for job in jobs:
