--- a/laburnumsill/batch/intake.py
+++ b/laburnumsill/batch/intake.py
@@ -119,7 +119,7 @@
     async def _forward(self, message: object) -> str:
         leader = self._groups.leader(self._group)
         if leader is None:
-            raise errors.NoQuorumError("no VM leads")
+            raise errors.NoQuorumError("nobody leads")
         deadline = self._clock.monotonic() + FORWARD_TIMEOUT_S
         answer = await self._peers.call(leader, message, deadline)
         return str(answer.leader)
