--- a/laburnumsill/batch/outlook.py
+++ b/laburnumsill/batch/estimates.py
@@ -6,8 +6,8 @@
 from collections import abc
 
 from laburnumsill.batch import headroom
-from laburnumsill.batch import learnt as learnt_module
 from laburnumsill.batch import ledger as ledgers
+from laburnumsill.batch import ledger_estimates
 from laburnumsill.batch import model
 from laburnumsill.batch import policy as policies
 from laburnumsill.batch import units
@@ -15,13 +15,13 @@
 from laburnumsill.core import clock as clocks
 
 
-class Outlook:
+class Estimates:
     """Estimates from the ledger's history and the leader's observations.
 
     Args:
         policy: The mechanisms in use.
         ledger: The ledger on which plans are based.
-        learnt: Run times and speeds learnt from the ledger's commands.
+        history: Run times and speeds estimated from the ledger's commands.
         health: The leader's observations of workers.
         clock: The clock of this process.
 
@@ -33,16 +33,16 @@
         self,
         policy: policies.Policy,
         ledger: ledgers.BatchLedger,
-        learnt: learnt_module.Learnt,
+        history: ledger_estimates.LedgerEstimates,
         health: worker_health.WorkerHealth,
         clock: clocks.Clock,
     ) -> None:
         self.step_ms: units.StepMs = units.declared_ms
         if policy.learnt_times:
-            self.step_ms = learnt.times.expected_ms
+            self.step_ms = history.times.expected_ms
         self._policy = policy
         self._ledger = ledger
-        self._learnt = learnt
+        self._history = history
         self._health = health
         self._clock = clock
         self._headroom = headroom.Headroom()
@@ -78,5 +78,5 @@
             return recent
         if not self._policy.learnt_speeds:
             return 1.0
-        long_term = self._learnt.speeds.slowness(worker_id)
+        long_term = self._history.speeds.slowness(worker_id)
         return min(long_term, worker_health.NOT_VERY_SLOW)
--- a/laburnumsill/batch/apart.py
+++ b/laburnumsill/batch/isolation.py
@@ -6,10 +6,10 @@
 from collections import abc
 
 from laburnumsill.batch import packing
-from laburnumsill.batch import rooms
 from laburnumsill.batch import units
+from laburnumsill.batch import worker_capacity
 
-Candidates = abc.Sequence[rooms.Candidate]
+Candidates = abc.Sequence[worker_capacity.Candidate]
 
 Fit = abc.Callable[[Candidates], packing.Assignment]
 """Returns an assignment of a unit to some candidates."""
--- a/laburnumsill/batch/leading.py
+++ b/laburnumsill/batch/leading.py
@@ -14,11 +14,11 @@
 
 from laburnumsill.batch import commands
 from laburnumsill.batch import contested_workers
-from laburnumsill.batch import learnt as learnt_module
+from laburnumsill.batch import estimates
 from laburnumsill.batch import ledger as ledgers
+from laburnumsill.batch import ledger_estimates
 from laburnumsill.batch import model
 from laburnumsill.batch import orders
-from laburnumsill.batch import outlook
 from laburnumsill.batch import plan_log
 from laburnumsill.batch import planner
 from laburnumsill.batch import policy as policies
@@ -128,7 +128,7 @@
         context: Dependencies of the scheduler.
         ledger: The ledger, with all commands of earlier leaders applied.
         fence: Raft term of this leader, the fencing token of its orders.
-        learnt: Estimates of worker speeds and run times from the ledger.
+        history: Estimates of worker speeds and run times from the ledger.
         leader_known_at: Monotonic time at which a previous leader was last
             known.
     """
@@ -138,7 +138,7 @@
         context: Context,
         ledger: ledgers.BatchLedger,
         fence: int,
-        learnt: learnt_module.Learnt,
+        history: ledger_estimates.LedgerEstimates,
         leader_known_at: float,
     ) -> None:
         self.ledger = ledger
@@ -154,8 +154,8 @@
         )
         self._context = context
         self._policy = context.policy
-        self._outlook = outlook.Outlook(
-            context.policy, ledger, learnt, self.health, context.clock
+        self._estimates = estimates.Estimates(
+            context.policy, ledger, history, self.health, context.clock
         )
         self._plan_log = plan_log.PlanLog(ledger, context.clock)
         self._sessions: dict[str, sessions.WorkerSession] = {}
@@ -298,13 +298,13 @@
             frozenset(self._stopping()),
             self._context.guarantees(),
             self.clock.wall_ms(),
-            self._outlook.avoid,
-            self._outlook.slowness,
+            self._estimates.avoid,
+            self._estimates.slowness,
             self._kept_racks,
             self._plan_log.is_due,
             self._context.bounds.stop_grace_ms,
-            self._outlook.headroom(),
-            self._outlook.step_ms,
+            self._estimates.headroom(),
+            self._estimates.step_ms,
             self._policy,
         )
         plan = planner.plan(view)
@@ -377,7 +377,7 @@
             and worker_id not in contested
             and session.announcement_is_fresh
             and now >= session.start_backoff_until
-            and not self._outlook.set_aside(worker_id, now)
+            and not self._estimates.set_aside(worker_id, now)
         }
 
     def _stopping(self) -> set[model.RunId]:
--- a/laburnumsill/batch/ledger.py
+++ b/laburnumsill/batch/ledger.py
@@ -11,14 +11,14 @@
 from collections import abc
 
 from laburnumsill.batch import caller_commands
-from laburnumsill.batch import checks
 from laburnumsill.batch import commands
 from laburnumsill.batch import crashes as crash_module
 from laburnumsill.batch import ledger_view
 from laburnumsill.batch import live_runs
 from laburnumsill.batch import model
+from laburnumsill.batch import placement_checks
 from laburnumsill.batch import records
-from laburnumsill.batch import worker_book
+from laburnumsill.batch import worker_registry
 from laburnumsill.core import codec
 from laburnumsill.core import replication
 
@@ -73,7 +73,7 @@
 
     def __init__(self) -> None:
         self._jobs: dict[str, records.JobRecord] = {}
-        self._book = worker_book.WorkerRegistry()
+        self._book = worker_registry.WorkerRegistry()
         self._live = live_runs.LiveRuns()
         self._waiting: dict[model.StepKey, list[model.TaskId]] = {}
         self._active: dict[str, records.JobRecord] = {}
@@ -383,7 +383,7 @@
         Returns:
             Why the group was refused, "" if it was placed.
         """
-        refusal = checks.placement_refusal(self, group)
+        refusal = placement_checks.placement_refusal(self, group)
         if refusal:
             return refusal
         for placement in group:
--- a/laburnumsill/batch/learnt.py
+++ b/laburnumsill/batch/ledger_estimates.py
@@ -5,7 +5,7 @@
 from laburnumsill.batch import worker_speeds
 
 
-class Learnt:
+class LedgerEstimates:
     """Estimates of worker speeds and of run times.
 
     Args:
--- a/laburnumsill/batch/packing.py
+++ b/laburnumsill/batch/packing.py
@@ -3,41 +3,41 @@
 from collections import abc
 
 from laburnumsill.batch import model
-from laburnumsill.batch import rooms
 from laburnumsill.batch import units
+from laburnumsill.batch import worker_capacity
 from laburnumsill.batch import worker_speeds
 
 URGENT_PRIORITY = 0
 """Priority of the jobs that may preempt others and have guaranteed capacity."""
 
-Assignment = list[tuple[model.TaskId, rooms.Candidate]]
+Assignment = list[tuple[model.TaskId, worker_capacity.Candidate]]
 """Tasks, each with the worker that is to run it."""
 
-Available = abc.Callable[[rooms.Candidate], model.Resources]
+Available = abc.Callable[[worker_capacity.Candidate], model.Resources]
 """Returns the capacity of a worker that a unit may use."""
 
 CountRuns = abc.Callable[[str, model.TaskId], int]
 """Returns how many live runs of a task's step a worker has."""
 
 
-def free_now(candidate: rooms.Candidate) -> model.Resources:
+def free_now(candidate: worker_capacity.Candidate) -> model.Resources:
     """Returns the free capacity of a worker."""
     return candidate.free
 
 
-def free_soon(candidate: rooms.Candidate) -> model.Resources:
+def free_soon(candidate: worker_capacity.Candidate) -> model.Resources:
     """Returns the free capacity once runs that are being stopped have ended."""
     return candidate.soon_free
 
 
-def free_or_reserved(candidate: rooms.Candidate) -> model.Resources:
+def free_or_reserved(candidate: worker_capacity.Candidate) -> model.Resources:
     """Returns the free capacity, including what is reserved for a gang."""
     return candidate.free_or_reserved
 
 
 def eligible(
-    unit: units.Unit, candidates: abc.Iterable[rooms.Candidate]
-) -> list[rooms.Candidate]:
+    unit: units.Unit, candidates: abc.Iterable[worker_capacity.Candidate]
+) -> list[worker_capacity.Candidate]:
     """Returns the candidates of a unit's pool that have its required label."""
     step = unit.step
     pool = unit.record.job.terms.pool
@@ -54,7 +54,7 @@
 
 def fit(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     available: Available,
     count_runs: CountRuns,
     may_spread: bool = False,
@@ -93,7 +93,7 @@
 
 def _slots(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     available: Available,
     count_runs: CountRuns,
 ) -> dict[str, int]:
@@ -111,17 +111,17 @@
 
 def _best_rack(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     slots: dict[str, int],
     available: Available,
-) -> list[rooms.Candidate] | None:
+) -> list[worker_capacity.Candidate] | None:
     """Returns the candidates of the fullest rack that holds a unit, or None.
 
     Racks near the data and racks with enough fast workers are preferred.
     """
     best: tuple[bool, bool, float] | None = None
     chosen = None
-    for rack, inside in rooms.by_rack(candidates).items():
+    for rack, inside in worker_capacity.by_rack(candidates).items():
         if sum(slots[r.worker.worker_id] for r in inside) < len(unit.tasks):
             continue
         left = sum(available(candidate).accelerators for candidate in inside)
@@ -139,7 +139,7 @@
 
 def _fits_fast(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     slots: dict[str, int],
 ) -> bool:
     """Returns whether a unit fits on the workers that are not slow."""
@@ -151,31 +151,31 @@
     return fast >= len(unit.tasks)
 
 
-def is_slow(candidate: rooms.Candidate) -> bool:
+def is_slow(candidate: worker_capacity.Candidate) -> bool:
     """Returns whether a worker is noticeably slower than others."""
     return candidate.slowness >= worker_speeds.NOTICEABLY_SLOW
 
 
 def _needs_one_rack(
-    unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
+    unit: units.Unit, candidates: abc.Sequence[worker_capacity.Candidate]
 ) -> bool:
     """Returns whether a gang should wait for a rack that could hold it."""
     return unit.step.same_rack and bool(feasible_racks(unit, candidates))
 
 
 def feasible_racks(
-    unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
-) -> dict[str, list[rooms.Candidate]]:
+    unit: units.Unit, candidates: abc.Sequence[worker_capacity.Candidate]
+) -> dict[str, list[worker_capacity.Candidate]]:
     """Returns the racks that could hold a unit once they are empty, by name."""
     return {
         rack: inside
-        for rack, inside in rooms.by_rack(candidates).items()
+        for rack, inside in worker_capacity.by_rack(candidates).items()
         if sum(max_slots(unit, candidate) for candidate in inside)
         >= len(unit.tasks)
     }
 
 
-def max_slots(unit: units.Unit, candidate: rooms.Candidate) -> int:
+def max_slots(unit: units.Unit, candidate: worker_capacity.Candidate) -> int:
     """Returns how many of a unit's tasks a worker can run once it is empty.
 
     Long-running tasks do not end by themselves, so their resources count as
@@ -190,20 +190,20 @@
 
 def _largest_racks_first(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     slots: dict[str, int],
     available: Available,
-) -> list[rooms.Candidate]:
+) -> list[worker_capacity.Candidate]:
     """Returns all candidates, racks with most slots first.
 
     Filled in this order, a gang spans few racks.
     """
-    racks = rooms.by_rack(candidates)
+    racks = worker_capacity.by_rack(candidates)
     order = sorted(
         racks,
         key=lambda rack: -sum(slots[r.worker.worker_id] for r in racks[rack]),
     )
-    found: list[rooms.Candidate] = []
+    found: list[worker_capacity.Candidate] = []
     for rack in order:
         found += _fullest_first(unit, racks[rack], available)
     return found
@@ -211,9 +211,9 @@
 
 def _order_for_tasks(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     available: Available,
-) -> list[rooms.Candidate]:
+) -> list[worker_capacity.Candidate]:
     """Returns candidates for single tasks, fullest first.
 
     Only workers in the rack of their data are candidates, if there are any.
@@ -229,9 +229,9 @@
 
 def _fullest_first(
     unit: units.Unit,
-    candidates: abc.Iterable[rooms.Candidate],
+    candidates: abc.Iterable[worker_capacity.Candidate],
     available: Available,
-) -> list[rooms.Candidate]:
+) -> list[worker_capacity.Candidate]:
     """Returns candidates in the order in which a unit should fill them.
 
     For urgent units, fast workers come first. Then the fullest come first, so
@@ -240,7 +240,9 @@
     """
     urgent = unit.priority == URGENT_PRIORITY
 
-    def sort_key(candidate: rooms.Candidate) -> tuple[bool, int, int, str]:
+    def sort_key(
+        candidate: worker_capacity.Candidate,
+    ) -> tuple[bool, int, int, str]:
         free = available(candidate)
         return (
             urgent and is_slow(candidate),
@@ -254,7 +256,7 @@
 
 def _assign(
     unit: units.Unit,
-    candidates: abc.Iterable[rooms.Candidate],
+    candidates: abc.Iterable[worker_capacity.Candidate],
     slots: dict[str, int],
 ) -> Assignment:
     """Returns an assignment that fills candidates in their order."""
@@ -269,7 +271,7 @@
 
 
 def mostly_free(
-    candidates: abc.Iterable[rooms.Candidate], available: Available
+    candidates: abc.Iterable[worker_capacity.Candidate], available: Available
 ) -> bool:
     """Returns whether less than half of each resource of workers is in use.
 
--- a/laburnumsill/batch/planner.py
+++ b/laburnumsill/batch/planner.py
@@ -3,27 +3,27 @@
 Units are planned in order of priority and objective. A unit that fits is
 placed. An urgent unit that does not fit is allocated capacity that is about to
 be freed; if that is not enough, it preempts the cheapest runs of lower
-priority. A gang that has waited long gets a reservation (`keeping`), so that
-small tasks do not starve it; so does an urgent gang for which no preemption is
-possible.
+priority. A gang that has waited long gets a reservation (see `reservations`),
+so that small tasks do not starve it; so does an urgent gang for which no
+preemption is possible.
 """
 
 import dataclasses
 import functools
 from collections import abc
 
-from laburnumsill.batch import apart
-from laburnumsill.batch import checks
 from laburnumsill.batch import commands
 from laburnumsill.batch import headroom
-from laburnumsill.batch import keeping
+from laburnumsill.batch import isolation
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import model
 from laburnumsill.batch import packing
+from laburnumsill.batch import placement_checks
 from laburnumsill.batch import policy as policies
 from laburnumsill.batch import preemption
-from laburnumsill.batch import rooms
+from laburnumsill.batch import reservations
 from laburnumsill.batch import units
+from laburnumsill.batch import worker_capacity
 from laburnumsill.batch import worker_health
 
 RESERVE_AFTER_MS = 3_000
@@ -146,7 +146,7 @@
         self._ledger = view.ledger
         self._policy = view.policy
         self._plan = Plan([], [], [])
-        self._candidates = rooms.find_candidates(
+        self._candidates = worker_capacity.find_candidates(
             view.ledger, view.usable, view.stopping, view.slowness
         )
         self._urgent_demand = headroom.urgent_demand(view.ledger)
@@ -206,18 +206,22 @@
             self._reserve_for(unit, candidates)
 
     def _fit(
-        self, unit: units.Unit, candidates: list[rooms.Candidate]
+        self, unit: units.Unit, candidates: list[worker_capacity.Candidate]
     ) -> packing.Assignment:
         """Returns an assignment that isolates suspects where possible."""
         if not self._ledger.crashes.suspects:
             return self._fit_in_free(unit, candidates)
         fit = functools.partial(self._fit_in_free, unit)
         if unit.isolated_since_ms is None:
-            return apart.fit_regular(unit, candidates, fit)
-        return apart.fit_suspect(unit, candidates, fit, self._may_share(unit))
+            return isolation.fit_regular(unit, candidates, fit)
+        return isolation.fit_suspect(
+            unit, candidates, fit, self._may_share(unit)
+        )
 
     def _fit_in_free(
-        self, unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
+        self,
+        unit: units.Unit,
+        candidates: abc.Sequence[worker_capacity.Candidate],
     ) -> packing.Assignment:
         return packing.fit(
             unit,
@@ -235,7 +239,7 @@
     def _backfill(
         self,
         unit: units.Unit,
-        candidates: list[rooms.Candidate],
+        candidates: list[worker_capacity.Candidate],
         found: packing.Assignment,
     ) -> packing.Assignment:
         """Returns an assignment that may use reserved capacity.
@@ -326,7 +330,9 @@
         return self._max_slots[key] < wanted
 
     def _may_spread(
-        self, unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
+        self,
+        unit: units.Unit,
+        candidates: abc.Sequence[worker_capacity.Candidate],
     ) -> bool:
         """Returns whether a gang should span racks rather than wait for one."""
         if not self._policy.spreading:
@@ -355,7 +361,7 @@
             )
         return self._pool_candidates[key]
 
-    def _eligible(self, unit: units.Unit) -> list[rooms.Candidate]:
+    def _eligible(self, unit: units.Unit) -> list[worker_capacity.Candidate]:
         """Returns the candidates for a unit, if possible without poor workers.
 
         These are very slow workers and those that a task should avoid.
@@ -393,14 +399,14 @@
             self._plan.groups += [(placement,) for placement in placements]
 
     def _obstacle(
-        self, unit: units.Unit, candidates: list[rooms.Candidate]
+        self, unit: units.Unit, candidates: list[worker_capacity.Candidate]
     ) -> str:
         """Returns a summary of the free slots, without spaces, for the log."""
         slots = [
             sum(
                 unit.step.needs.times_in(candidate.free) for candidate in inside
             )
-            for inside in rooms.by_rack(candidates).values()
+            for inside in worker_capacity.by_rack(candidates).values()
         ]
         return (
             f"workers:{len(candidates)},best-rack:{max(slots, default=0)},"
@@ -408,7 +414,7 @@
         )
 
     def _preempt_for(
-        self, unit: units.Unit, candidates: list[rooms.Candidate]
+        self, unit: units.Unit, candidates: list[worker_capacity.Candidate]
     ) -> None:
         """Allocates capacity that is about to be freed, else preempts runs."""
         soon = packing.fit(
@@ -435,7 +441,9 @@
         self._allocate(unit, eviction.assignment)
 
     def _needs_fast_workers(
-        self, unit: units.Unit, candidates: abc.Iterable[rooms.Candidate]
+        self,
+        unit: units.Unit,
+        candidates: abc.Iterable[worker_capacity.Candidate],
     ) -> bool:
         """Returns whether a unit misses its objective on the slowest worker.
 
@@ -473,7 +481,7 @@
                 candidate.used_by_stopping += amount
 
     def _reserve_for(
-        self, unit: units.Unit, candidates: list[rooms.Candidate]
+        self, unit: units.Unit, candidates: list[worker_capacity.Candidate]
     ) -> None:
         """Reserves capacity for a gang that has waited long."""
         if not self._policy.kept_rooms:
@@ -482,11 +490,13 @@
         if waited < RESERVE_AFTER_MS or self._reservations >= MAX_RESERVATIONS:
             return
         previous_rack = self._view.kept_racks.get(unit.key, "")
-        reservation = keeping.find_reservation(unit, candidates, previous_rack)
+        reservation = reservations.find_reservation(
+            unit, candidates, previous_rack
+        )
         if reservation is None:
             return
         self._reservations += 1
-        self._reservation_start_ms = keeping.expected_start_ms(
+        self._reservation_start_ms = reservations.expected_start_ms(
             unit,
             reservation,
             self._ledger,
@@ -514,7 +524,7 @@
             candidate.allocate(unit.step.needs)
 
     def _count_runs(self, worker_id: str, task: model.TaskId) -> int:
-        return checks.count_runs(self._ledger, worker_id, task)
+        return placement_checks.count_runs(self._ledger, worker_id, task)
 
 
 @dataclasses.dataclass(slots=True)
@@ -528,14 +538,14 @@
             Free capacity only shrinks while a plan is made, so False is final.
     """
 
-    all: list[rooms.Candidate]
-    not_very_slow: list[rooms.Candidate]
+    all: list[worker_capacity.Candidate]
+    not_very_slow: list[worker_capacity.Candidate]
     mostly_free: bool = True
 
 
 def _without_very_slow(
-    candidates: abc.Iterable[rooms.Candidate],
-) -> list[rooms.Candidate]:
+    candidates: abc.Iterable[worker_capacity.Candidate],
+) -> list[worker_capacity.Candidate]:
     return [
         candidate
         for candidate in candidates
--- a/laburnumsill/batch/preemption.py
+++ b/laburnumsill/batch/preemption.py
@@ -14,8 +14,8 @@
 from laburnumsill.batch import packing
 from laburnumsill.batch import policy as policies
 from laburnumsill.batch import records
-from laburnumsill.batch import rooms
 from laburnumsill.batch import units
+from laburnumsill.batch import worker_capacity
 
 MAX_UNSAVED_WORK_S = 1.0
 """Work that a run of a step with saved progress loses at most, in seconds: the
@@ -111,7 +111,7 @@
 
 def evict(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     victims: Victims,
     count_runs: packing.CountRuns,
     fast_first: bool,
@@ -133,7 +133,7 @@
     ]
     preferences = [fast, candidates] if fast_first else [candidates]
     for preferred in preferences:
-        racks = rooms.by_rack(preferred)
+        racks = worker_capacity.by_rack(preferred)
         evictions = [
             _evict_from(unit, inside, victims, count_runs, policy)
             for inside in racks.values()
@@ -146,7 +146,7 @@
 
 def _evict_from(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     victims: Victims,
     count_runs: packing.CountRuns,
     policy: policies.Policy,
@@ -196,7 +196,7 @@
     def __init__(
         self,
         needs: model.Resources,
-        candidates: abc.Sequence[rooms.Candidate],
+        candidates: abc.Sequence[worker_capacity.Candidate],
         victims: Victims,
         cheapest: bool,
     ) -> None:
@@ -213,7 +213,9 @@
         )
         self._options: dict[str, _Option] = {}
 
-    def available(self, candidate: rooms.Candidate) -> model.Resources:
+    def available(
+        self, candidate: worker_capacity.Candidate
+    ) -> model.Resources:
         """Returns what is free on a worker once the chosen have ended."""
         return self._soon_free[candidate.worker.worker_id]
 
--- a/laburnumsill/batch/keeping.py
+++ b/laburnumsill/batch/reservations.py
@@ -10,8 +10,8 @@
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import packing
 from laburnumsill.batch import records
-from laburnumsill.batch import rooms
 from laburnumsill.batch import units
+from laburnumsill.batch import worker_capacity
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,12 +24,12 @@
     """
 
     rack: str
-    slots: abc.Sequence[tuple[rooms.Candidate, int]]
+    slots: abc.Sequence[tuple[worker_capacity.Candidate, int]]
 
 
 def find_reservation(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     previous_rack: str,
 ) -> Reservation | None:
     """Returns a reservation for a gang, or None if its pool cannot hold it.
@@ -101,7 +101,7 @@
 
 
 def _soon_free_slots(
-    unit: units.Unit, candidates: abc.Iterable[rooms.Candidate]
+    unit: units.Unit, candidates: abc.Iterable[worker_capacity.Candidate]
 ) -> int:
     """Returns how many of a unit's tasks fit into the soon free capacity."""
     return sum(
@@ -111,7 +111,9 @@
 
 
 def _reservation(
-    unit: units.Unit, rack: str, candidates: abc.Iterable[rooms.Candidate]
+    unit: units.Unit,
+    rack: str,
+    candidates: abc.Iterable[worker_capacity.Candidate],
 ) -> Reservation | None:
     """Returns a reservation of the emptiest workers, or None if too few."""
     slots = []
@@ -124,7 +126,7 @@
     return Reservation(rack, slots) if not left else None
 
 
-def _emptiest_first(candidate: rooms.Candidate) -> tuple[int, str]:
+def _emptiest_first(candidate: worker_capacity.Candidate) -> tuple[int, str]:
     """Returns a sort key that puts the most soon free capacity first.
 
     Reserved workers get no new runs and become emptier, so the next plan
--- a/laburnumsill/batch/placed_runs.py
+++ b/laburnumsill/batch/run_timer.py
@@ -30,7 +30,7 @@
     took_ms: int
 
 
-class PlacedRuns:
+class RunTimer:
     """Measures the run times of runs in a ledger.
 
     Runs that resume from saved progress are not measured: they are shorter by
--- a/laburnumsill/batch/run_times.py
+++ b/laburnumsill/batch/run_times.py
@@ -17,7 +17,7 @@
 from laburnumsill.batch import commands
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import model
-from laburnumsill.batch import placed_runs
+from laburnumsill.batch import run_timer
 
 PRIOR_WEIGHT = 2.0
 """Weight of the prior variances, in steps."""
@@ -78,7 +78,7 @@
 
     def __init__(self, ledger: ledgers.BatchLedger) -> None:
         self._ledger = ledger
-        self._placed = placed_runs.PlacedRuns(ledger, self._is_representative)
+        self._timer = run_timer.RunTimer(ledger, self._is_representative)
         self._queues: dict[str, _QueueTimes] = {}
         self._step_times: dict[model.StepKey, list[float] | None] = {}
 
@@ -105,7 +105,7 @@
 
     def observe(self, command: object) -> None:
         """Updates the estimates after a command was applied to the ledger."""
-        for run in self._placed.done_by(command):
+        for run in self._timer.done_by(command):
             self._observe_run(run)
 
     def _is_representative(
@@ -124,7 +124,7 @@
             if placement.worker_id in workers
         }
 
-    def _observe_run(self, run: placed_runs.DoneRun) -> None:
+    def _observe_run(self, run: run_timer.DoneRun) -> None:
         """Records the mean time of a step's tasks once all of them are done.
 
         Before that the mean would be biased towards short tasks. A gang is done
--- a/laburnumsill/batch/scheduler.py
+++ b/laburnumsill/batch/scheduler.py
@@ -9,10 +9,10 @@
 
 from laburnumsill.batch import caller_commands
 from laburnumsill.batch import commands
-from laburnumsill.batch import last_lead
+from laburnumsill.batch import last_leader
 from laburnumsill.batch import leading
-from laburnumsill.batch import learnt as learnt_module
 from laburnumsill.batch import ledger as ledgers
+from laburnumsill.batch import ledger_estimates
 from laburnumsill.core import errors
 from laburnumsill.core import logs
 from laburnumsill.core import replication
@@ -30,8 +30,8 @@
         self._group = context.group
         self._groups = context.groups
         self._term: leading.LeadingTerm | None = None
-        self._learnt: learnt_module.Learnt | None = None
-        self._last_leader = last_lead.LastKnownLeader()
+        self._history: ledger_estimates.LedgerEstimates | None = None
+        self._last_leader = last_leader.LastKnownLeader()
 
     async def run(self) -> None:
         """Runs a term whenever this VM leads, until cancelled."""
@@ -62,9 +62,9 @@
         estimates as earlier leaders had.
         """
         ledger = machine.component(ledgers.BatchLedger.name)
-        learnt = learnt_module.Learnt(ledger)
-        self._learnt = learnt
-        machine.observe(learnt.observe)
+        history = ledger_estimates.LedgerEstimates(ledger)
+        self._history = history
+        machine.observe(history.observe)
         machine.observe(self.notice)
 
     def notice(self, command: object) -> None:
@@ -83,7 +83,7 @@
             self._context,
             ledger,
             fence,
-            self._learnt or learnt_module.Learnt(ledger),
+            self._history or ledger_estimates.LedgerEstimates(ledger),
             self._last_leader.known_at,
         )
         logs.event("scheduler-started", group=self._group, fence=fence)
--- a/laburnumsill/batch/tests/test_last_lead.py
+++ b/laburnumsill/batch/tests/test_last_leader.py
@@ -1,6 +1,6 @@
 import math
 
-from laburnumsill.batch import last_lead
+from laburnumsill.batch import last_leader
 
 
 def observe_repeatedly(last, leader, begin, end, step=0.05):
@@ -11,15 +11,15 @@
 
 
 def test_a_vm_that_never_saw_a_leader_has_no_time_of_one():
-    last = last_lead.LastKnownLeader()
+    last = last_leader.LastKnownLeader()
     observe_repeatedly(last, None, 10.0, 12.0)
     assert last.known_at == -math.inf
 
 
 def test_observations_just_after_a_stall_are_ignored():
-    last = last_lead.LastKnownLeader()
+    last = last_leader.LastKnownLeader()
     observe_repeatedly(last, "vm1", 0.0, 5.0)
-    observe_repeatedly(last, "vm1", 15.0, 15.0 + last_lead.STALL_RECOVERY_S)
+    observe_repeatedly(last, "vm1", 15.0, 15.0 + last_leader.STALL_RECOVERY_S)
     assert 4.9 < last.known_at < 5.0
     observe_repeatedly(last, "vm1", 16.1, 17.0)
     assert last.known_at > 16.9
--- a/laburnumsill/batch/worker_speeds.py
+++ b/laburnumsill/batch/worker_speeds.py
@@ -18,7 +18,7 @@
 from laburnumsill.batch import commands
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import model
-from laburnumsill.batch import placed_runs
+from laburnumsill.batch import run_timer
 
 NOTICEABLY_SLOW = 1.12
 """Relative run time from which a worker counts as slow."""
@@ -70,7 +70,7 @@
 
     def __init__(self, ledger: ledgers.BatchLedger) -> None:
         self._ledger = ledger
-        self._placed = placed_runs.PlacedRuns(ledger, _is_comparable)
+        self._timer = run_timer.RunTimer(ledger, _is_comparable)
         self._steps: collections.OrderedDict[model.StepKey, _StepTimes] = (
             collections.OrderedDict()
         )
@@ -92,7 +92,7 @@
 
     def observe(self, command: object) -> None:
         """Updates the estimates after a command was applied to the ledger."""
-        done = self._placed.done_by(command)
+        done = self._timer.done_by(command)
         for run in done:
             self._add(run.task, run.worker_id, math.log(run.took_ms / 1000))
         if done:
