--- a/bench/batch_plan_time.py
+++ b/bench/batch_plan_time.py
@@ -74,7 +74,7 @@
 
 def plan_ms(ledger: ledgers.BatchLedger) -> list[float]:
     """Returns the times of some plans of the same state."""
-    view = planner.View(
+    view = planner.PlannerInput(
         ledger, set(ledger.workers), frozenset(), {}, NOW_MS + 100
     )
     times = []
--- a/laburnumsill/batch/contested_workers.py
+++ b/laburnumsill/batch/contested_workers.py
@@ -5,7 +5,7 @@
 from laburnumsill.batch import model
 
 
-def contested(
+def contested_ids(
     workers: abc.Collection[model.Worker], configured_pools: abc.Set[str]
 ) -> set[str]:
     """Returns the ids of workers whose address or name another worker claims.
@@ -23,9 +23,9 @@
         >>> old = model.Worker("old", "p", "a:1", "d", model.Resources())
         >>> new = model.Worker("new", "p", "a:1", "d", model.Resources())
         >>> stray = model.Worker("stray", "q", "a:1", "d", model.Resources())
-        >>> sorted(contested([old, new], {"p"}))
+        >>> sorted(contested_ids([old, new], {"p"}))
         ['new', 'old']
-        >>> contested([old, stray], {"p"}), contested([old], {"p"})
+        >>> contested_ids([old, stray], {"p"}), contested_ids([old], {"p"})
         ({'stray'}, set())
     """
     addresses = {worker.address for worker in workers}
--- a/laburnumsill/batch/estimates.py
+++ b/laburnumsill/batch/estimates.py
@@ -54,17 +54,17 @@
         demand = headroom.urgent_demand(self._ledger).total()
         return self._headroom.update(demand, self._clock.monotonic())
 
-    def avoid(self, task: model.TaskId) -> abc.Set[str]:
+    def avoided_workers(self, task: model.TaskId) -> abc.Set[str]:
         """Returns the workers on which a task should not run again."""
         if not self._policy.avoiding:
             return frozenset()
-        return self._health.avoid(task)
+        return self._health.avoided_workers(task)
 
-    def set_aside(self, worker_id: str, now: float) -> bool:
+    def is_quarantined(self, worker_id: str, now: float) -> bool:
         """Returns whether a worker is in quarantine and gets no new runs."""
         if not self._policy.setting_aside:
             return False
-        return self._health.set_aside(worker_id, now)
+        return self._health.is_quarantined(worker_id, now)
 
     def slowness(self, worker_id: str) -> float:
         """Returns the run time on a worker relative to other workers.
@@ -73,10 +73,13 @@
         the long-term ones.
         """
         now = self._clock.monotonic()
-        recent = self._health.slowness_lately(worker_id, now)
-        if recent >= worker_health.VERY_SLOW and self._policy.very_slow_last:
+        recent = self._health.recent_slowness(worker_id, now)
+        if (
+            recent >= worker_health.VERY_SLOW_RATIO
+            and self._policy.very_slow_last
+        ):
             return recent
         if not self._policy.learnt_speeds:
             return 1.0
         long_term = self._history.speeds.slowness(worker_id)
-        return min(long_term, worker_health.NOT_VERY_SLOW)
+        return min(long_term, worker_health.MAX_SLOW_RATIO)
--- a/laburnumsill/batch/failure_evidence.py
+++ b/laburnumsill/batch/failure_evidence.py
@@ -69,13 +69,14 @@
 
     Examples:
         >>> evidence = FailureEvidence()
-        >>> evidence.failed("w", "q", "a", 0.0), evidence.failed(
-        ...     "w", "q", "b", 1.0
-        ... )
-        (False, True)
+        >>> evidence.record_failure("w", "q", "a", 0.0)
+        False
+        >>> evidence.record_failure("w", "q", "b", 1.0)
+        True
         >>> for number in range(400):
-        ...     evidence.done(f"w{number % 20}", "reliable", f"j{number}")
-        >>> evidence.failed("w1", "reliable", "c", 2.0)
+        ...     worker_id = f"w{number % 20}"
+        ...     evidence.record_success(worker_id, "reliable", f"j{number}")
+        >>> evidence.record_failure("w1", "reliable", "c", 2.0)
         True
     """
 
@@ -88,7 +89,7 @@
         self._workers: set[str] = set()
         self._confirmed: collections.deque[float] = collections.deque()
 
-    def done(self, worker_id: str, queue: str, job_id: str) -> None:
+    def record_success(self, worker_id: str, queue: str, job_id: str) -> None:
         """Records the success of a run, which clears its worker.
 
         The earlier failures on the worker then count as failures on a healthy
@@ -103,7 +104,7 @@
                 self._queues[other].all += 1
                 self._queues[other].failed += 1
 
-    def failed(
+    def record_failure(
         self, worker_id: str, queue: str, job_id: str, now: float
     ) -> bool:
         """Records the failure of a run.
--- a/laburnumsill/batch/gateway.py
+++ b/laburnumsill/batch/gateway.py
@@ -68,7 +68,7 @@
             raise UnknownJobError(f"no job {job_id!r}")
         return str(answer.state)
 
-    async def state(self, job_id: str, deadline: float) -> str:
+    async def job_state(self, job_id: str, deadline: float) -> str:
         """Returns the state of a job as shown to callers.
 
         Raises:
@@ -84,7 +84,7 @@
             raise UnknownJobError(f"no job {job_id!r}")
         return str(answer.state)
 
-    async def pending(self, queue: str, deadline: float) -> int:
+    async def pending_jobs(self, queue: str, deadline: float) -> int:
         """Returns the number of jobs of a queue that have not started.
 
         Raises:
--- a/laburnumsill/batch/intake.py
+++ b/laburnumsill/batch/intake.py
@@ -133,7 +133,7 @@
         self._reset_on_new_term()
         ended = ledger.has_ended(worker_id)
         recorded = self._newest_sequences.get(worker_id)
-        newest = max(ledger.sequence(worker_id), recorded or 0)
+        newest = max(ledger.last_sequence(worker_id), recorded or 0)
         if ended or sequence < newest:
             logs.decision(
                 "announcement-overtaken",
@@ -151,7 +151,7 @@
             worker = _capped_at_known(known, worker)
         if known != worker:
             await self._put(worker, sequence)
-        self._scheduler.hear(worker_id, announcement.clock_ms)
+        self._scheduler.observe_heartbeat(worker_id, announcement.clock_ms)
         return Taken(self._vm_id)
 
     def _reset_on_new_term(self) -> None:
@@ -268,5 +268,5 @@
     announcement was sent before the worker's capacity shrank. It accepts a
     larger capacity with the next announcement.
     """
-    capacity = known.capacity.least(worker.capacity)
+    capacity = known.capacity.elementwise_min(worker.capacity)
     return msgspec.structs.replace(worker, capacity=capacity)
--- a/laburnumsill/batch/leading.py
+++ b/laburnumsill/batch/leading.py
@@ -44,7 +44,7 @@
 COMMIT_TIMEOUT_S = 2.0
 """Timeout of a commit. A leader whose commit times out ends its term."""
 
-PLANNING_SHARE = 0.25
+MAX_PLANNING_SHARE = 0.25
 """Largest share of the event loop's time for planning. A pause after each plan
 lets events accumulate. A plan takes about a millisecond; with 176 workers and a
 plan for each event, planning starved commits and reports."""
@@ -82,7 +82,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WorkerBounds:
+class WorkerLimits:
     """Time limits that workers guarantee.
 
     Attributes:
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Context:
+class SchedulerContext:
     """Dependencies of a scheduler, on every VM.
 
     Attributes:
@@ -105,7 +105,7 @@
         guarantees: Returns the guaranteed accelerators by client account.
         clock: The clock of this process.
         metrics: Receives the gauges.
-        bounds: Time limits that workers guarantee.
+        worker_limits: Time limits that workers guarantee.
         pools: Returns the configured pools.
         policy: The mechanisms in use.
     """
@@ -116,7 +116,7 @@
     guarantees: abc.Callable[[], abc.Mapping[str, int]]
     clock: clocks.Clock
     metrics: metrics_module.Metrics
-    bounds: WorkerBounds
+    worker_limits: WorkerLimits
     pools: abc.Callable[[], abc.Set[str]]
     policy: policies.Policy = policies.ALL
 
@@ -135,7 +135,7 @@
 
     def __init__(
         self,
-        context: Context,
+        context: SchedulerContext,
         ledger: ledgers.BatchLedger,
         fence: int,
         history: ledger_estimates.LedgerEstimates,
@@ -145,7 +145,7 @@
         self.client = context.client
         self.clock = context.clock
         self.fence = fence
-        self.longest_lease_ms = context.bounds.longest_lease_ms
+        self.longest_lease_ms = context.worker_limits.longest_lease_ms
         self.health = worker_health.WorkerHealth()
         self.order_timeout = learnt_wait.LearntWait(
             orders.MIN_ORDER_TIMEOUT_S,
@@ -165,7 +165,7 @@
         self._wakeup.set()
         self._scope = trio.CancelScope()
         self._nursery: trio.Nursery
-        self._kept_racks: dict[model.StepKey, str] = {}
+        self._reserved_racks: dict[model.StepKey, str] = {}
         self._domain_probed_at: dict[str, float] = {}
         self._next_retention_check_ms = 0
         announced_at = leader_known_at - INHERITED_ANNOUNCEMENT_AGE_S
@@ -270,14 +270,14 @@
             took_s = self.clock.monotonic() - began
             if plan.groups:
                 await self._place_groups(plan.groups)
-            pause_s = took_s * (1 / PLANNING_SHARE - 1)
+            pause_s = took_s * (1 / MAX_PLANNING_SHARE - 1)
             await trio.sleep(min(MAX_PLANNING_PAUSE_S, pause_s))
 
     def _make_plan(self) -> planner.Plan:
         """Returns a plan, after starting the stops of obsolete runs."""
         self._sync_sessions()
         self._stop_obsolete_runs()
-        contested = contested_workers.contested(
+        contested = contested_workers.contested_ids(
             self.ledger.workers.values(), self._context.pools()
         )
         for worker_id in contested:
@@ -292,26 +292,26 @@
         return min(HOUSEKEEPING_INTERVAL_S, (due_ms - now_ms) / 1000 + 0.001)
 
     def _plan_with(self, usable: abc.Set[str]) -> planner.Plan:
-        view = planner.View(
+        planner_input = planner.PlannerInput(
             self.ledger,
             usable,
             frozenset(self._stopping()),
             self._context.guarantees(),
             self.clock.wall_ms(),
-            self._estimates.avoid,
+            self._estimates.avoided_workers,
             self._estimates.slowness,
-            self._kept_racks,
+            self._reserved_racks,
             self._plan_log.is_due,
-            self._context.bounds.stop_grace_ms,
+            self._context.worker_limits.stop_grace_ms,
             self._estimates.headroom(),
             self._estimates.step_ms,
             self._policy,
         )
-        plan = planner.plan(view)
-        self._kept_racks = plan.kept_racks
-        self._plan_log.waiting(plan, len(usable))
+        plan = planner.plan(planner_input)
+        self._reserved_racks = plan.reserved_racks
+        self._plan_log.log_waiting(plan, len(usable))
         for run in plan.stops:
-            self._stop(run, URGENT_STOP_REASON, plan.stopped_for[run])
+            self._stop(run, URGENT_STOP_REASON, plan.preempted_for[run])
         return plan
 
     async def _place_groups(self, groups: abc.Sequence[commands.Group]) -> None:
@@ -362,7 +362,7 @@
         assert isinstance(placed, commands.Placed)
         for group, refusal in zip(groups, placed.refusals, strict=True):
             for placement in group:
-                self._plan_log.placement(placement, refusal)
+                self._plan_log.log_placement(placement, refusal)
                 session = self._sessions.get(placement.worker_id)
                 if not refusal and session is not None:
                     session.start(placement.run)
@@ -377,7 +377,7 @@
             and worker_id not in contested
             and session.announcement_is_fresh
             and now >= session.start_backoff_until
-            and not self._estimates.set_aside(worker_id, now)
+            and not self._estimates.is_quarantined(worker_id, now)
         }
 
     def _stopping(self) -> set[model.RunId]:
@@ -396,7 +396,7 @@
         """Stops runs of ended jobs, done tasks and incomplete gangs."""
         obsolete = [
             (run, reason)
-            for key, runs in self.ledger.runs_of_steps.items()
+            for key, runs in self.ledger.runs_by_step.items()
             for run, reason in self._obsolete_runs(key, runs)
         ]
         for run, reason in obsolete:
@@ -491,7 +491,7 @@
             now_ms + RETENTION_CHECK_INTERVAL_S * 1000
         )
         before_ms = now_ms - int(ENDED_JOB_RETENTION_S * 1000)
-        if self.ledger.may_forget(before_ms):
+        if self.ledger.has_expired_records(before_ms):
             await self.commit(commands.ForgetJobs(before_ms))
 
     def _publish(self) -> None:
--- a/laburnumsill/batch/leases.py
+++ b/laburnumsill/batch/leases.py
@@ -14,7 +14,7 @@
 latency of the order."""
 
 
-class LeaseBook:
+class LeaseTracker:
     """The leases on one worker, with an estimate of its clock.
 
     Args:
@@ -23,12 +23,12 @@
             most `longest_ms` of the worker's time after it.
 
     Examples:
-        >>> leases = LeaseBook(10_000, now=100.0)
-        >>> leases.observe(5_000, received_at=100.0)
+        >>> leases = LeaseTracker(10_000, now=100.0)
+        >>> leases.observe_clock(5_000, received_at=100.0)
         >>> leases.next_lease_ms(100.0)
         14700
-        >>> leases.granted(14_700)
-        >>> round(leases.over_at, 2)
+        >>> leases.record_grant(14_700)
+        >>> round(leases.expires_at, 2)
         110.2
     """
 
@@ -40,16 +40,16 @@
         self._expires_at = now + longest_ms / 1000 / (1 - CLOCK_DRIFT)
 
     @property
-    def known(self) -> bool:
+    def clock_known(self) -> bool:
         """Whether a reading of the worker's clock was received."""
         return self._clock_ms is not None
 
     @property
-    def over_at(self) -> float:
+    def expires_at(self) -> float:
         """Monotonic time in s at which all leases are sure to have ended."""
         return self._expires_at
 
-    def observe(self, clock_ms: int, received_at: float) -> None:
+    def observe_clock(self, clock_ms: int, received_at: float) -> None:
         """Records a reading of the worker's clock.
 
         Readings that go backwards are ignored.
@@ -75,7 +75,7 @@
         elapsed_ms = int((now - self._received_at) * 1000)
         return self._clock_ms + elapsed_ms + self._longest_ms - LEASE_MARGIN_MS
 
-    def granted(self, lease_ms: int) -> None:
+    def record_grant(self, lease_ms: int) -> None:
         """Records a lease, before it is sent to the worker."""
         self._granted_ms = max(self._granted_ms, lease_ms)
         self._extend_expiry()
--- a/laburnumsill/batch/ledger.py
+++ b/laburnumsill/batch/ledger.py
@@ -73,7 +73,7 @@
 
     def __init__(self) -> None:
         self._jobs: dict[str, records.JobRecord] = {}
-        self._book = worker_registry.WorkerRegistry()
+        self._registry = worker_registry.WorkerRegistry()
         self._live = live_runs.LiveRuns()
         self._waiting: dict[model.StepKey, list[model.TaskId]] = {}
         self._active: dict[str, records.JobRecord] = {}
@@ -97,7 +97,7 @@
     @property
     def workers(self) -> abc.Mapping[str, model.Worker]:
         """The present workers, by id."""
-        return self._book.workers
+        return self._registry.workers
 
     @property
     def runs(self) -> abc.Mapping[model.RunId, records.RunRecord]:
@@ -105,7 +105,7 @@
         return self._live.all
 
     @property
-    def runs_of_steps(
+    def runs_by_step(
         self,
     ) -> abc.Mapping[
         model.StepKey, abc.Mapping[model.RunId, records.RunRecord]
@@ -137,19 +137,19 @@
 
     def workers_named(self, name: str) -> abc.Iterator[model.Worker]:
         """Yields the present incarnations that calls to a name may reach."""
-        return self._book.named(name)
+        return self._registry.named(name)
 
-    def noted(self, worker_id: str) -> int:
+    def last_end(self, worker_id: str) -> int:
         """Returns the number of a worker's last recorded end, 0 for none."""
-        return self._book.noted.get(worker_id, 0)
+        return self._registry.last_ends.get(worker_id, 0)
 
-    def sequence(self, worker_id: str) -> int:
+    def last_sequence(self, worker_id: str) -> int:
         """Returns the sequence number of a worker's last announcement."""
-        return self._book.sequences.get(worker_id, 0)
+        return self._registry.sequences.get(worker_id, 0)
 
     def has_ended(self, worker_id: str) -> bool:
         """Returns whether a worker's incarnation is known to have ended."""
-        return worker_id in self._book.ended
+        return worker_id in self._registry.ended
 
     def needs_of(self, run: model.RunId) -> model.Resources:
         """Returns the resources of a run, whose job must be in the ledger."""
@@ -160,7 +160,7 @@
 
         Live runs are not subtracted.
         """
-        return self._book.slots_in(pool, needs)
+        return self._registry.slots_in(pool, needs)
 
     def free_on(self, worker_id: str) -> model.Resources:
         """Returns the free capacity of a worker."""
@@ -199,13 +199,13 @@
 
     def note_ends(self, command: commands.NoteEnds) -> None:
         """Records the ends that were not recorded before."""
-        last = self.noted(command.worker_id)
+        last = self.last_end(command.worker_id)
         for end in command.ends:
             if end.number > last:
                 last = end.number
                 self._crashes.clear_run(command.worker_id, end.run)
                 self._record_end(end, command.at_ms)
-        self._book.record_ends(command.worker_id, last)
+        self._registry.record_ends(command.worker_id, last)
 
     def release(self, command: commands.ReleaseRuns) -> None:
         """Removes live runs that are lost or were never started."""
@@ -236,7 +236,7 @@
         Lost workers at the same address have crashed, unless they are still
         present: the tasks that ran on them are blamed.
         """
-        if not self._book.put(command.worker, command.sequence):
+        if not self._registry.put(command.worker, command.sequence):
             return
         worker_id = command.worker.worker_id
         address = command.worker.address
@@ -254,7 +254,7 @@
         self._attribute_loss(command, runs)
         for run in runs:
             self._drop_or_reassign(run, command.successor)
-        self._book.remove(command.worker_id, command.ended_ms)
+        self._registry.remove(command.worker_id, command.ended_ms)
 
     def _drop_or_reassign(self, run: model.RunId, successor: str) -> None:
         """Removes a live run, or assigns it to the successor as a stray."""
@@ -311,21 +311,21 @@
 
         A job with a live run is kept.
         """
-        self._book.forget(command.ended_before_ms)
-        busy = {job_id for job_id, _, _ in self.runs_of_steps}
+        self._registry.forget(command.ended_before_ms)
+        busy = {job_id for job_id, _, _ in self.runs_by_step}
         for job_id, record in list(self._jobs.items()):
             ended = 0 < record.ended_ms < command.ended_before_ms
             if ended and job_id not in busy:
                 del self._jobs[job_id]
         self._crashes.keep_jobs(self._active)
 
-    def may_forget(self, before_ms: int) -> bool:
+    def has_expired_records(self, before_ms: int) -> bool:
         """Returns whether a job or a worker ended before `before_ms`.
 
         If none did, `ForgetJobs` with that time would delete nothing.
         """
         jobs = (record.ended_ms for record in self._jobs.values())
-        ends = (*jobs, *self._book.ended.values())
+        ends = (*jobs, *self._registry.ended.values())
         return any(0 < ended_ms < before_ms for ended_ms in ends)
 
     def job_state(
@@ -353,9 +353,9 @@
                 list(self._jobs.values()),
                 list(self.workers.values()),
                 list(self.runs.values()),
-                dict(self._book.noted),
-                dict(self._book.sequences),
-                dict(self._book.ended),
+                dict(self._registry.last_ends),
+                dict(self._registry.sequences),
+                dict(self._registry.ended),
                 self._crashes.records,
             )
         )
@@ -369,12 +369,12 @@
             if job.active:
                 self._active[job.job.job_id] = job
         for worker in snapshot.workers:
-            self._book.workers[worker.worker_id] = worker
+            self._registry.workers[worker.worker_id] = worker
         for run in snapshot.runs:
             self._add_run(run)
-        self._book.noted = dict(snapshot.noted)
-        self._book.sequences = dict(snapshot.sequences)
-        self._book.ended = dict(snapshot.ended_workers)
+        self._registry.last_ends = dict(snapshot.noted)
+        self._registry.sequences = dict(snapshot.sequences)
+        self._registry.ended = dict(snapshot.ended_workers)
         self._crashes = crash_module.CrashTracker(snapshot.crashes)
 
     def _place_group(self, group: commands.Group, at_ms: int) -> str:
--- a/laburnumsill/batch/model.py
+++ b/laburnumsill/batch/model.py
@@ -48,11 +48,11 @@
             and self.accelerators <= available.accelerators
         )
 
-    def least(self, other: "Resources") -> "Resources":
+    def elementwise_min(self, other: "Resources") -> "Resources":
         """Returns the minimum of both amounts for each resource.
 
         Examples:
-            >>> Resources(1000, 64, 2).least(Resources(500, 80, 2))
+            >>> Resources(1000, 64, 2).elementwise_min(Resources(500, 80, 2))
             Resources(cpu_millis=500, memory_mb=64, accelerators=2)
         """
         return Resources(
@@ -61,16 +61,16 @@
             min(self.accelerators, other.accelerators),
         )
 
-    def times_in(self, available: "Resources") -> int:
+    def copies_in(self, available: "Resources") -> int:
         """Returns how many copies of this amount fit into `available`.
 
         The result is 0 if a resource of `available` is negative, and
         `UNBOUNDED` if this amount is zero.
 
         Examples:
-            >>> Resources(1000, 64, 2).times_in(Resources(9000, 640, 8))
+            >>> Resources(1000, 64, 2).copies_in(Resources(9000, 640, 8))
             4
-            >>> Resources(1000, 64, 0).times_in(Resources(9000, 640, -1))
+            >>> Resources(1000, 64, 0).copies_in(Resources(9000, 640, -1))
             0
         """
         # Makes no function calls, for speed: the planner evaluates this for
@@ -96,7 +96,7 @@
 
 
 UNBOUNDED = 1_000_000
-"""Result of `Resources.times_in` for a task that needs no resources."""
+"""Result of `Resources.copies_in` for a task that needs no resources."""
 
 CORES_PER_ACCELERATOR = 8
 """Number of cores that one accelerator counts for where amounts are compared
@@ -143,7 +143,7 @@
     long_running: bool = False
 
     @property
-    def tells_speed(self) -> bool:
+    def measures_worker_speed(self) -> bool:
         """Whether the run time of a task measures the speed of its worker.
 
         It does not for a gang, which runs as long as its slowest member, nor
@@ -301,14 +301,14 @@
         return self.name or self.worker_id
 
 
-def weight(needs: Resources) -> float:
+def core_equivalents(needs: Resources) -> float:
     """Returns an amount of resources as a number of cores.
 
     An accelerator counts for `CORES_PER_ACCELERATOR` cores, and memory does
     not count.
 
     Examples:
-        >>> weight(Resources(4000, 0, 1))
+        >>> core_equivalents(Resources(4000, 0, 1))
         12.0
     """
     return needs.cpu_millis / 1000 + CORES_PER_ACCELERATOR * needs.accelerators
--- a/laburnumsill/batch/orders.py
+++ b/laburnumsill/batch/orders.py
@@ -180,7 +180,7 @@
         if lease_ms is None:
             state.wakeup.set()  # the next report returns the clock
             return False
-        state.leases.granted(lease_ms)
+        state.leases.record_grant(lease_ms)
         order = worker_client.StartOrder(
             run, record.job.payload, task.saved, lease_ms, state.term.fence
         )
@@ -217,7 +217,7 @@
         )
         clock_ms = error.context.get("clock_ms")
         if isinstance(clock_ms, int):
-            state.leases.observe(clock_ms, state.term.clock.monotonic())
+            state.leases.observe_clock(clock_ms, state.term.clock.monotonic())
 
     async def _stop(self, run: model.RunId) -> None:
         """Sends a stop order until the worker acknowledges it."""
--- a/laburnumsill/batch/packing.py
+++ b/laburnumsill/batch/packing.py
@@ -101,7 +101,7 @@
     step = unit.step
     slots = {}
     for candidate in candidates:
-        count = step.needs.times_in(available(candidate))
+        count = step.needs.copies_in(available(candidate))
         if step.max_per_worker:
             known = count_runs(candidate.worker.worker_id, unit.tasks[0])
             count = min(count, max(0, step.max_per_worker - known))
@@ -153,7 +153,7 @@
 
 def is_slow(candidate: worker_capacity.Candidate) -> bool:
     """Returns whether a worker is noticeably slower than others."""
-    return candidate.slowness >= worker_speeds.NOTICEABLY_SLOW
+    return candidate.slowness >= worker_speeds.SLOW_RATIO
 
 
 def _needs_one_rack(
@@ -183,7 +183,7 @@
     """
     urgent = unit.priority == URGENT_PRIORITY
     emptied = candidate.worker.capacity if urgent else candidate.max_free
-    count = unit.step.needs.times_in(emptied)
+    count = unit.step.needs.copies_in(emptied)
     limit = unit.step.max_per_worker
     return min(count, limit) if limit else count
 
--- a/laburnumsill/batch/plan_log.py
+++ b/laburnumsill/batch/plan_log.py
@@ -41,7 +41,9 @@
         """Returns whether the next line about a waiting unit is due."""
         return self._next_line_at.get(key, 0.0) <= self._clock.monotonic()
 
-    def placement(self, placement: commands.Placement, refusal: str) -> None:
+    def log_placement(
+        self, placement: commands.Placement, refusal: str
+    ) -> None:
         """Logs a placement.
 
         Args:
@@ -63,7 +65,7 @@
             refusal=refusal,
         )
 
-    def waiting(self, plan: planner.Plan, usable: int) -> None:
+    def log_waiting(self, plan: planner.Plan, usable: int) -> None:
         """Logs units when they begin to wait, and then at intervals.
 
         Args:
@@ -75,13 +77,11 @@
         for unit in plan.waiting:
             next_line_at[unit.key] = self._next_line_at.get(unit.key, now)
             if unit.key in plan.obstacles:
-                self._log_waiting(unit, plan.obstacles[unit.key], usable)
+                self._log_unit(unit, plan.obstacles[unit.key], usable)
                 next_line_at[unit.key] = now + WAITING_LOG_INTERVAL_S
         self._next_line_at = next_line_at
 
-    def _log_waiting(
-        self, unit: units.Unit, obstacle: str, usable: int
-    ) -> None:
+    def _log_unit(self, unit: units.Unit, obstacle: str, usable: int) -> None:
         logs.decision(
             "unit-waits",
             job=unit.record.job.job_id,
--- a/laburnumsill/batch/planner.py
+++ b/laburnumsill/batch/planner.py
@@ -40,7 +40,7 @@
 in ms: the free capacity would otherwise stay unused. A step without runs may
 use reserved capacity after the same time."""
 
-APART_FOR_MS = 1_500
+ISOLATION_TIMEOUT_MS = 1_500
 """How long a task that is suspected of crashing its worker waits for an idle
 worker, in ms; after that it goes to the worker with the fewest runs."""
 
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
+class PlannerInput:
     """Input of the planner.
 
     Attributes:
@@ -68,9 +68,10 @@
         stopping: Runs that were ordered to stop and have not ended yet.
         guarantees: Guaranteed accelerators by client account.
         now_ms: Wall time, ms since 1970.
-        avoid: Returns the workers on which a task should not run again.
+        avoided_workers: Returns the workers that a task should not run on
+            again.
         slowness: Returns the run time on a worker relative to other workers.
-        kept_racks: Reserved racks of the previous plan, by gang.
+        reserved_racks: Reserved racks of the previous plan, by gang.
         explain: Returns whether the plan should explain why a unit waits.
         stop_grace_ms: Time within which a run ends after a stop order, in ms.
         headroom: Accelerators that units with slack leave free for urgent jobs.
@@ -83,9 +84,11 @@
     stopping: abc.Set[model.RunId]
     guarantees: abc.Mapping[str, int]
     now_ms: int
-    avoid: abc.Callable[[model.TaskId], abc.Set[str]] = lambda _: frozenset()
+    avoided_workers: abc.Callable[[model.TaskId], abc.Set[str]] = lambda _: (
+        frozenset()
+    )
     slowness: abc.Callable[[str], float] = lambda _: 1.0
-    kept_racks: abc.Mapping[model.StepKey, str] = dataclasses.field(
+    reserved_racks: abc.Mapping[model.StepKey, str] = dataclasses.field(
         default_factory=dict
     )
     explain: abc.Callable[[model.StepKey], bool] = lambda _: False
@@ -103,53 +106,58 @@
         groups: Runs to place; a group is placed as a whole or not at all.
         stops: Runs to preempt.
         waiting: Units with tasks that could not be placed.
-        kept_racks: Reserved racks by gang, an input of the next plan.
+        reserved_racks: Reserved racks by gang, an input of the next plan.
         obstacles: Why units wait, for the log.
-        stopped_for: The preempting job of each run in `stops`, for the log.
+        preempted_for: The preempting job of each run in `stops`, for the log.
     """
 
     groups: list[commands.Group]
     stops: list[model.RunId]
     waiting: list[units.Unit]
-    kept_racks: dict[model.StepKey, str] = dataclasses.field(
+    reserved_racks: dict[model.StepKey, str] = dataclasses.field(
         default_factory=dict
     )
     obstacles: dict[model.StepKey, str] = dataclasses.field(
         default_factory=dict
     )
-    stopped_for: dict[model.RunId, str] = dataclasses.field(
+    preempted_for: dict[model.RunId, str] = dataclasses.field(
         default_factory=dict
     )
 
 
-def plan(view: View) -> Plan:
+def plan(planner_input: PlannerInput) -> Plan:
     """Returns the runs to place and to stop.
 
     Does not look at the workers if no unit waits, which is the case at most
     events of a site with little load.
     """
-    waiting = units.ready_units(view.ledger, view.now_ms, view.step_ms)
+    waiting = units.ready_units(
+        planner_input.ledger, planner_input.now_ms, planner_input.step_ms
+    )
     if not waiting:
         return Plan([], [], [])
-    return _Planner(view).run(waiting)
+    return _Planner(planner_input).run(waiting)
 
 
 class _Planner:
     """Makes one plan; units planned earlier reduce the capacity for later ones.
 
     Args:
-        view: The input of the planner.
+        planner_input: The input of the planner.
     """
 
-    def __init__(self, view: View) -> None:
-        self._view = view
-        self._ledger = view.ledger
-        self._policy = view.policy
+    def __init__(self, planner_input: PlannerInput) -> None:
+        self._input = planner_input
+        self._ledger = planner_input.ledger
+        self._policy = planner_input.policy
         self._plan = Plan([], [], [])
         self._candidates = worker_capacity.find_candidates(
-            view.ledger, view.usable, view.stopping, view.slowness
+            planner_input.ledger,
+            planner_input.usable,
+            planner_input.stopping,
+            planner_input.slowness,
         )
-        self._urgent_demand = headroom.urgent_demand(view.ledger)
+        self._urgent_demand = headroom.urgent_demand(planner_input.ledger)
         self._victims: preemption.Victims | None = None
         self._reservations = 0
         self._reservation_start_ms = 0.0
@@ -172,14 +180,14 @@
 
     def _can_meet_objective(self, unit: units.Unit) -> bool:
         """Returns whether a unit that starts now can meet its objective."""
-        return self._view.now_ms + unit.critical_path_ms <= unit.objective_ms
+        return self._input.now_ms + unit.critical_path_ms <= unit.objective_ms
 
     def _is_within_guarantee(self, unit: units.Unit) -> bool:
         """Returns whether an urgent unit is within its account's guarantee."""
         if unit.priority != packing.URGENT_PRIORITY:
             return False
         account = unit.record.job.account
-        guarantee = self._view.guarantees.get(account, 0)
+        guarantee = self._input.guarantees.get(account, 0)
         return self._urgent_demand[account] <= guarantee
 
     def _plan_unit(self, unit: units.Unit) -> None:
@@ -195,7 +203,7 @@
         unit.tasks = [task for task in unit.tasks if task not in placed]
         if not unit.tasks:
             return
-        if self._view.explain(unit.key):
+        if self._input.explain(unit.key):
             self._plan.obstacles[unit.key] = self._obstacle(unit, candidates)
         self._plan.waiting.append(unit)
         if not self._may_share(unit):
@@ -234,7 +242,10 @@
     def _may_share(self, unit: units.Unit) -> bool:
         """Returns whether a unit may share a worker with other runs."""
         since_ms = unit.isolated_since_ms
-        return since_ms is None or self._view.now_ms >= since_ms + APART_FOR_MS
+        return (
+            since_ms is None
+            or self._input.now_ms >= since_ms + ISOLATION_TIMEOUT_MS
+        )
 
     def _backfill(
         self,
@@ -269,8 +280,8 @@
 
     def _is_starved(self, unit: units.Unit) -> bool:
         """Returns whether a step has long had no run in a mostly free pool."""
-        waited = self._view.now_ms - unit.waiting_since_ms
-        if waited < SPREAD_AFTER_MS or unit.key in self._ledger.runs_of_steps:
+        waited = self._input.now_ms - unit.waiting_since_ms
+        if waited < SPREAD_AFTER_MS or unit.key in self._ledger.runs_by_step:
             return False
         return self._is_mostly_free(unit)
 
@@ -289,11 +300,11 @@
         candidates = self._candidates_for(unit).all
         free = sum(candidate.free.accelerators for candidate in candidates)
         max_tasks = (
-            max(0, free - self._view.headroom) // step.needs.accelerators
+            max(0, free - self._input.headroom) // step.needs.accelerators
         )
         if step.gang:
             return found if len(found) <= max_tasks else []
-        min_tasks = 0 if unit.key in self._ledger.runs_of_steps else 1
+        min_tasks = 0 if unit.key in self._ledger.runs_by_step else 1
         return found[: max(min_tasks, max_tasks)]
 
     def _leaves_headroom(self, unit: units.Unit) -> bool:
@@ -305,11 +316,13 @@
         finds enough free capacity.
         """
         step = unit.step
-        if unit.priority == packing.URGENT_PRIORITY or not self._view.headroom:
+        if unit.priority == packing.URGENT_PRIORITY or not self._input.headroom:
             return False
         if step.long_running or not step.needs.accelerators:
             return False
-        slack_ms = unit.objective_ms - self._view.now_ms - unit.critical_path_ms
+        slack_ms = (
+            unit.objective_ms - self._input.now_ms - unit.critical_path_ms
+        )
         min_ms = unit.critical_path_ms if step.gang else MIN_SLACK_MS
         return slack_ms >= min_ms
 
@@ -323,7 +336,7 @@
         key = (unit.record.job.terms.pool, step.required_label, step.needs)
         if key not in self._max_slots:
             self._max_slots[key] = sum(
-                step.needs.times_in(candidate.free)
+                step.needs.copies_in(candidate.free)
                 for candidate in self._candidates_for(unit).all
             )
         wanted = len(unit.tasks) if step.gang else 1
@@ -337,7 +350,7 @@
         """Returns whether a gang should span racks rather than wait for one."""
         if not self._policy.spreading:
             return False
-        waited = self._view.now_ms - unit.waiting_since_ms
+        waited = self._input.now_ms - unit.waiting_since_ms
         return waited >= SPREAD_AFTER_MS and packing.mostly_free(
             candidates, packing.free_now
         )
@@ -367,18 +380,18 @@
         These are very slow workers and those that a task should avoid.
         """
         pool = self._candidates_for(unit)
-        waited = self._view.now_ms - unit.waiting_since_ms
+        waited = self._input.now_ms - unit.waiting_since_ms
         if waited >= ANY_WORKER_AFTER_MS:
             return pool.all  # a poor worker is better than none
-        avoid: set[str] = set()
+        avoided: set[str] = set()
         for task in unit.tasks:
-            avoid |= self._view.avoid(task)
-        if not avoid:
+            avoided |= self._input.avoided_workers(task)
+        if not avoided:
             return pool.not_very_slow or pool.all
         others = [
             candidate
             for candidate in pool.all
-            if candidate.worker.worker_id not in avoid
+            if candidate.worker.worker_id not in avoided
         ]
         return _without_very_slow(others) or others or pool.all
 
@@ -404,7 +417,8 @@
         """Returns a summary of the free slots, without spaces, for the log."""
         slots = [
             sum(
-                unit.step.needs.times_in(candidate.free) for candidate in inside
+                unit.step.needs.copies_in(candidate.free)
+                for candidate in inside
             )
             for inside in worker_capacity.by_rack(candidates).values()
         ]
@@ -452,7 +466,7 @@
         slowest = max(
             (candidate.slowness for candidate in candidates), default=1.0
         )
-        start_ms = self._view.now_ms + self._view.stop_grace_ms
+        start_ms = self._input.now_ms + self._input.stop_grace_ms
         end_ms = start_ms + slowest * unit.critical_path_ms
         return end_ms > unit.objective_ms
 
@@ -462,8 +476,8 @@
                 preemption.victims_below(
                     self._ledger,
                     packing.URGENT_PRIORITY,
-                    self._view.stopping,
-                    self._view.now_ms,
+                    self._input.stopping,
+                    self._input.now_ms,
                 )
             )
         return self._victims
@@ -474,7 +488,7 @@
             self._victims.remove(victim)
         self._plan.stops += victim.runs
         for run in victim.runs:
-            self._plan.stopped_for[run] = unit.record.job.job_id
+            self._plan.preempted_for[run] = unit.record.job.job_id
         for worker_id, amount in victim.freed.items():
             candidate = self._candidates.get(worker_id)
             if candidate is not None:
@@ -486,10 +500,10 @@
         """Reserves capacity for a gang that has waited long."""
         if not self._policy.kept_rooms:
             return
-        waited = self._view.now_ms - unit.waiting_since_ms
+        waited = self._input.now_ms - unit.waiting_since_ms
         if waited < RESERVE_AFTER_MS or self._reservations >= MAX_RESERVATIONS:
             return
-        previous_rack = self._view.kept_racks.get(unit.key, "")
+        previous_rack = self._input.reserved_racks.get(unit.key, "")
         reservation = reservations.find_reservation(
             unit, candidates, previous_rack
         )
@@ -500,11 +514,11 @@
             unit,
             reservation,
             self._ledger,
-            self._view.now_ms,
-            self._view.step_ms,
+            self._input.now_ms,
+            self._input.step_ms,
         )
         if reservation.rack:
-            self._plan.kept_racks[unit.key] = reservation.rack
+            self._plan.reserved_racks[unit.key] = reservation.rack
         for candidate, count in reservation.slots:
             for _ in range(count):
                 candidate.reserve(unit.step.needs)
@@ -514,9 +528,9 @@
         step = unit.step
         if step.gang or step.long_running:
             return False
-        step_ms = self._view.step_ms(unit.record.job, unit.step_index)
+        step_ms = self._input.step_ms(unit.record.job, unit.step_index)
         max_ms = BACKFILL_TIME_FACTOR * step_ms
-        return self._view.now_ms + max_ms <= self._reservation_start_ms
+        return self._input.now_ms + max_ms <= self._reservation_start_ms
 
     def _allocate(self, unit: units.Unit, found: packing.Assignment) -> None:
         """Subtracts the capacity of runs that are to be placed later."""
@@ -549,5 +563,5 @@
     return [
         candidate
         for candidate in candidates
-        if candidate.slowness < worker_health.VERY_SLOW
+        if candidate.slowness < worker_health.VERY_SLOW_RATIO
     ]
--- a/laburnumsill/batch/preemption.py
+++ b/laburnumsill/batch/preemption.py
@@ -96,7 +96,7 @@
 ) -> list[Victim]:
     """Returns the victims for a unit of a priority: runs of lower priority."""
     found: list[Victim] = []
-    for key, runs in ledger.runs_of_steps.items():
+    for key, runs in ledger.runs_by_step.items():
         job = ledger.jobs[key[0]].job
         if job.terms.priority <= priority:
             continue
@@ -209,7 +209,7 @@
             for candidate in candidates
         }
         self._slots = sum(
-            needs.times_in(free) for free in self._soon_free.values()
+            needs.copies_in(free) for free in self._soon_free.values()
         )
         self._options: dict[str, _Option] = {}
 
@@ -259,7 +259,7 @@
     def _max_slots(self) -> int:
         """Returns how many slots there would be if all victims were stopped."""
         return sum(
-            self._needs.times_in(free + self._victims.freed_on(worker_id))
+            self._needs.copies_in(free + self._victims.freed_on(worker_id))
             for worker_id, free in self._soon_free.items()
         )
 
@@ -267,7 +267,7 @@
         """Recomputes the victims for one more slot on a worker."""
         self._options.pop(worker_id, None)
         free = self._soon_free[worker_id]
-        before = self._needs.times_in(free)
+        before = self._needs.copies_in(free)
         cost = 0.0
         group: list[Victim] = []
         for victim in self._victims.on_worker(worker_id):
@@ -276,7 +276,7 @@
             group.append(victim)
             cost += victim.cost
             free += victim.freed[worker_id]
-            gained = self._needs.times_in(free) - before
+            gained = self._needs.copies_in(free) - before
             if gained > 0:
                 self._options[worker_id] = _Option(
                     cost / gained, worker_id, tuple(group)
@@ -298,13 +298,15 @@
                 continue
             after = before + freed if sign > 0 else before - freed
             self._soon_free[worker_id] = after
-            self._slots += self._needs.times_in(after)
-            self._slots -= self._needs.times_in(before)
+            self._slots += self._needs.copies_in(after)
+            self._slots -= self._needs.copies_in(before)
 
 
 def _cost_per_core(worker_id: str, victim: Victim) -> float:
     """Returns a victim's cost for each core that it frees on a worker."""
-    return victim.cost / max(model.weight(victim.freed[worker_id]), 0.001)
+    return victim.cost / max(
+        model.core_equivalents(victim.freed[worker_id]), 0.001
+    )
 
 
 def _make_victim(
@@ -320,5 +322,5 @@
         lost_s += (
             min(ran_s, MAX_UNSAVED_WORK_S) if step.saves_progress else ran_s
         )
-    cost = PREEMPTION_COST_CORE_S + lost_s * model.weight(step.needs)
+    cost = PREEMPTION_COST_CORE_S + lost_s * model.core_equivalents(step.needs)
     return Victim(tuple(run.run for run in runs), cost, freed)
--- a/laburnumsill/batch/reservations.py
+++ b/laburnumsill/batch/reservations.py
@@ -76,7 +76,7 @@
     ends = [
         _expected_end_ms(run, ledger, now_ms, step_ms)
         for candidate, count in reservation.slots
-        if unit.step.needs.times_in(candidate.free) < count
+        if unit.step.needs.copies_in(candidate.free) < count
         for run in ledger.runs_on(candidate.worker.worker_id).values()
     ]
     return max(ends, default=0.0)
@@ -105,7 +105,7 @@
 ) -> int:
     """Returns how many of a unit's tasks fit into the soon free capacity."""
     return sum(
-        unit.step.needs.times_in(candidate.soon_free)
+        unit.step.needs.copies_in(candidate.soon_free)
         for candidate in candidates
     )
 
--- a/laburnumsill/batch/run_timer.py
+++ b/laburnumsill/batch/run_timer.py
@@ -48,7 +48,7 @@
         self._run_filter = run_filter
         self._placed: dict[model.RunId, tuple[str, int]] = {}
 
-    def done_by(self, command: object) -> list[DoneRun]:
+    def observe(self, command: object) -> list[DoneRun]:
         """Processes an applied command; returns the runs that it completed."""
         if isinstance(command, commands.PlaceRuns):
             self._track(command)
--- a/laburnumsill/batch/run_times.py
+++ b/laburnumsill/batch/run_times.py
@@ -105,7 +105,7 @@
 
     def observe(self, command: object) -> None:
         """Updates the estimates after a command was applied to the ledger."""
-        for run in self._timer.done_by(command):
+        for run in self._timer.observe(command):
             self._observe_run(run)
 
     def _is_representative(
--- a/laburnumsill/batch/scheduler.py
+++ b/laburnumsill/batch/scheduler.py
@@ -25,7 +25,7 @@
         context: Dependencies of the scheduler.
     """
 
-    def __init__(self, context: leading.Context) -> None:
+    def __init__(self, context: leading.SchedulerContext) -> None:
         self._context = context
         self._group = context.group
         self._groups = context.groups
@@ -45,7 +45,7 @@
                 )
             await trio.sleep(leading.LEADERSHIP_POLL_S)
 
-    def hear(self, worker_id: str, clock_ms: int | None) -> None:
+    def observe_heartbeat(self, worker_id: str, clock_ms: int | None) -> None:
         """Passes a heartbeat to the term, if this VM leads.
 
         Args:
@@ -55,7 +55,7 @@
         if self._term is not None:
             self._term.observe_heartbeat(worker_id, clock_ms)
 
-    def follow(self, machine: replication.StateMachine) -> None:
+    def observe_machine(self, machine: replication.StateMachine) -> None:
         """Observes all commands that a replica's state machine applies.
 
         Called before the first command, so that a new leader has the same
@@ -65,9 +65,9 @@
         history = ledger_estimates.LedgerEstimates(ledger)
         self._history = history
         machine.observe(history.observe)
-        machine.observe(self.notice)
+        machine.observe(self.on_command)
 
-    def notice(self, command: object) -> None:
+    def on_command(self, command: object) -> None:
         """Requests a plan after a command that can affect planning."""
         if self._term is not None and not isinstance(
             command, commands.NoteRunning
--- a/laburnumsill/batch/session.py
+++ b/laburnumsill/batch/session.py
@@ -74,7 +74,7 @@
         self._term = term
         self._state = worker_state.WorkerState(worker, term, announced_at)
         self._orders = orders.Orders(self._state, nursery)
-        self._acknowledged_end = term.ledger.noted(worker.worker_id)
+        self._acknowledged_end = term.ledger.last_end(worker.worker_id)
         self._has_reported = False
         self._contested_at: float | None = None
         self._probing = False
@@ -112,7 +112,7 @@
     @property
     def leases_expire_at(self) -> float:
         """Monotonic time by which all leases have certainly expired."""
-        return self._state.leases.over_at
+        return self._state.leases.expires_at
 
     @property
     def stopping(self) -> collections_abc.Set[model.RunId]:
@@ -195,7 +195,7 @@
     def _needs_report(self) -> bool:
         ledger = self._term.ledger
         unacknowledged = (
-            ledger.noted(self._state.worker_id) > self._acknowledged_end
+            ledger.last_end(self._state.worker_id) > self._acknowledged_end
         )
         runs = ledger.runs_on(self._state.worker_id)
         if runs or self._state.running or unacknowledged:
@@ -209,13 +209,13 @@
 
     async def _report_once(self) -> None:
         now = self._term.clock.monotonic()
-        last_end = self._term.ledger.noted(self._state.worker_id)
+        last_end = self._term.ledger.last_end(self._state.worker_id)
         lease_ms = self._state.leases.next_lease_ms(now)
         if self._state.renewal_suspended:
             lease_ms = None
         wait_ms = self._wait_ms()
         if lease_ms is not None:
-            self._state.leases.granted(lease_ms)
+            self._state.leases.record_grant(lease_ms)
         order = worker_client.ReportOrder(
             lease_ms, self._term.fence, last_end, wait_ms
         )
@@ -245,7 +245,7 @@
     def _wait_ms(self) -> int:
         """Returns the long-poll timeout of the next report, in ms."""
         runs = self._term.ledger.runs_on(self._state.worker_id)
-        if self._contested_at is not None or not self._state.leases.known:
+        if self._contested_at is not None or not self._state.leases.clock_known:
             return 0
         if not runs:
             return UNSETTLED_WAIT_MS if self._state.running else 0
@@ -266,7 +266,7 @@
             return
         if isinstance(error, worker_client.IncarnationGoneError):
             return
-        if self._term.clock.monotonic() >= self._state.leases.over_at:
+        if self._term.clock.monotonic() >= self._state.leases.expires_at:
             await self._release_all("its lease has ended")
         await trio.sleep(orders.RETRY_PAUSE_S)
 
@@ -289,12 +289,12 @@
     ) -> None:
         """Processes a report that was requested at `sent_at`, monotonic."""
         self._state.running = {listed.run: listed for listed in report.running}
-        last_end = self._term.ledger.noted(self._state.worker_id)
+        last_end = self._term.ledger.last_end(self._state.worker_id)
         new_ends = tuple(end for end in report.ended if end.number > last_end)
         if new_ends:
             await self._commit_ends(new_ends)
         ended_runs = {end.run for end in report.ended}
-        await self._reconcile(ended_runs, sent_at, not report.unread_running)
+        await self._reconcile(ended_runs, sent_at, not report.malformed_running)
         live = self._term.ledger.runs_on(self._state.worker_id)
         for run in self._state.running:
             if run not in live:
@@ -307,7 +307,7 @@
             run for run in self._state.stops if self._state.has_ended(run)
         ]:
             del self._state.stops[run]
-        if report.unread_running or report.unread_ended:
+        if report.malformed_running or report.malformed_ended:
             await trio.sleep(MALFORMED_REPORT_PAUSE_S)
 
     def _resend_stops(self, sent_at: float) -> None:
--- a/laburnumsill/batch/tests/planned_site.py
+++ b/laburnumsill/batch/tests/planned_site.py
@@ -37,7 +37,7 @@
 
 def view(ledger, stopping=(), now_ms=0, guarantees=None):
     """Returns a planner input with all workers usable."""
-    return planner.View(
+    return planner.PlannerInput(
         ledger,
         set(ledger.workers),
         frozenset(stopping),
@@ -52,7 +52,7 @@
         ledger.submit(caller_commands.SubmitJob(one, 0))
 
 
-def carry_out(ledger, made):
+def apply_plan(ledger, made):
     """Applies the placements of a plan to the ledger."""
     placed = ledger.place(commands.PlaceRuns(tuple(made.groups), 0))
     assert set(placed.refusals) <= {""}
@@ -81,7 +81,7 @@
     ledger.remove_worker(commands.RemoveWorker(worker_id, "lost", ended_ms=1))
 
 
-def taken(made):
+def workers_used(made):
     """Returns the workers on which a plan places runs."""
     return {placed.worker_id for group in made.groups for placed in group}
 
--- a/laburnumsill/batch/tests/test_crashes.py
+++ b/laburnumsill/batch/tests/test_crashes.py
@@ -203,7 +203,7 @@
 
 def test_one_suspect_of_a_step_runs_at_a_time():
     ledger = site_with_suspects("j", tasks=(0, 1, 2))
-    planned_site.carry_out(ledger, plan(ledger))
+    planned_site.apply_plan(ledger, plan(ledger))
     assert len(ledger.runs) == 1
     assert not plan(ledger).groups
 
@@ -214,8 +214,8 @@
     planned_site.occupy(ledger, "w01", "p", 1)
     planned_site.occupy(ledger, "w01", "q", 1)
     assert not plan(ledger).groups
-    made = plan(ledger, now_ms=planner.APART_FOR_MS)
-    assert planned_site.taken(made) == {
+    made = plan(ledger, now_ms=planner.ISOLATION_TIMEOUT_MS)
+    assert planned_site.workers_used(made) == {
         "w00"
     }  # the worker with the fewest live runs
 
@@ -224,7 +224,7 @@
 def test_two_suspects_do_not_share_a_worker(gang):
     """Suspects on one worker would be blamed together at each crash."""
     ledger = site_with_suspects("j", per_rack=2)
-    planned_site.carry_out(ledger, plan(ledger))
+    planned_site.apply_plan(ledger, plan(ledger))
     (isolated,) = {record.worker_id for record in ledger.runs.values()}
     (other,) = ledger.workers.keys() - {isolated}
     for name in ("o", "p"):
@@ -232,13 +232,13 @@
     suspect = planned_site.job("k", 1, 1, priority=1, gang=gang)
     planned_site.submit(ledger, suspect)
     ledger.crashes.record_crash([run_of("k")], 0)
-    made = plan(ledger, now_ms=planner.APART_FOR_MS)
-    assert planned_site.taken(made) == {other}
+    made = plan(ledger, now_ms=planner.ISOLATION_TIMEOUT_MS)
+    assert planned_site.workers_used(made) == {other}
 
 
 def test_other_tasks_join_a_suspect_if_no_other_worker_has_capacity():
     ledger = site_with_suspects("j", per_rack=1)
-    planned_site.carry_out(ledger, plan(ledger))
+    planned_site.apply_plan(ledger, plan(ledger))
     planned_site.submit(ledger, planned_site.job("k", 1, 1, priority=2))
     assert planned_site.placed_jobs(plan(ledger)) == {"k"}
 
@@ -249,4 +249,4 @@
     planned_site.submit(ledger, planned_site.job("j", 1, 8))
     ledger.crashes.record_crash([run_of("j")], 0)
     assert not plan(ledger).stops
-    assert plan(ledger, now_ms=planner.APART_FOR_MS).stops
+    assert plan(ledger, now_ms=planner.ISOLATION_TIMEOUT_MS).stops
--- a/laburnumsill/batch/tests/test_failure_evidence.py
+++ b/laburnumsill/batch/tests/test_failure_evidence.py
@@ -18,9 +18,9 @@
         worker = source.choice(WORKERS)
         job = f"calm-{number // 5}"
         if source.random() < QUEUE_FAILURE_RATES[queue]:
-            evidence.failed(worker, queue, job, 0.0)
+            evidence.record_failure(worker, queue, job, 0.0)
         else:
-            evidence.done(worker, queue, job)
+            evidence.record_success(worker, queue, job)
     return evidence
 
 
@@ -28,7 +28,7 @@
     """Gangs run on several workers that fail all their runs."""
     evidence = trained_evidence(random.Random(1))
     quarantined = [
-        evidence.failed(worker, RELIABLE, f"gang-{number}", 10.0)
+        evidence.record_failure(worker, RELIABLE, f"gang-{number}", 10.0)
         for number, worker in enumerate(WORKERS[:20])
     ]
     assert all(quarantined)
@@ -36,18 +36,18 @@
 
 def test_two_failures_of_an_unreliable_queue_reveal_a_faulty_worker():
     evidence = trained_evidence(random.Random(2))
-    assert not evidence.failed("w7", UNRELIABLE, "a", 10.0)
-    assert evidence.failed("w7", UNRELIABLE, "b", 11.0)
+    assert not evidence.record_failure("w7", UNRELIABLE, "a", 10.0)
+    assert evidence.record_failure("w7", UNRELIABLE, "b", 11.0)
 
 
 def test_recently_confirmed_faulty_workers_raise_the_odds_for_others():
     evidence = trained_evidence(random.Random(3))
     for number, worker in enumerate(WORKERS[:20]):
-        evidence.failed(worker, UNRELIABLE, f"a-{number}", 10.0)
-        evidence.failed(worker, UNRELIABLE, f"b-{number}", 10.0)
-    assert evidence.failed("w200", UNRELIABLE, "c", 11.0)
+        evidence.record_failure(worker, UNRELIABLE, f"a-{number}", 10.0)
+        evidence.record_failure(worker, UNRELIABLE, f"b-{number}", 10.0)
+    assert evidence.record_failure("w200", UNRELIABLE, "c", 11.0)
     later = 11.0 + 2 * failure_evidence.CONFIRMED_WINDOW_S
-    assert not evidence.failed("w201", UNRELIABLE, "d", later)
+    assert not evidence.record_failure("w201", UNRELIABLE, "d", later)
 
 
 def test_a_job_that_fails_everywhere_quarantines_few_workers():
@@ -56,14 +56,16 @@
     quarantined = [
         worker
         for worker in WORKERS[:40]
-        if evidence.failed(worker, RELIABLE, "poisoned", 10.0)
+        if evidence.record_failure(worker, RELIABLE, "poisoned", 10.0)
     ]
     assert len(quarantined) <= 2
 
 
 def test_failures_of_one_job_on_a_worker_count_once():
     evidence = failure_evidence.FailureEvidence()
-    assert not any(evidence.failed("w", "q", "a", 0.1 * n) for n in range(9))
+    assert not any(
+        evidence.record_failure("w", "q", "a", 0.1 * n) for n in range(9)
+    )
 
 
 def test_healthy_workers_are_seldom_quarantined():
@@ -77,23 +79,23 @@
         job = f"job-{number // 5}"
         now = 10.0 + number / 80
         if source.random() >= QUEUE_FAILURE_RATES[queue]:
-            evidence.done(worker, queue, job)
+            evidence.record_success(worker, queue, job)
         else:
-            quarantines += evidence.failed(worker, queue, job, now)
+            quarantines += evidence.record_failure(worker, queue, job, now)
     # A quarantine lasts 4 s of 125 s, so the bound is 1 % of the workers.
     assert quarantines < len(WORKERS) / 100 * 125 / 4
 
 
 def test_a_successful_run_clears_a_worker():
     evidence = failure_evidence.FailureEvidence()
-    assert not evidence.failed("w", "q", "a", 0.0)
-    evidence.done("w", "q", "b")
-    assert not evidence.failed("w", "q", "c", 1.0)
+    assert not evidence.record_failure("w", "q", "a", 0.0)
+    evidence.record_success("w", "q", "b")
+    assert not evidence.record_failure("w", "q", "c", 1.0)
 
 
 def test_counts_of_ended_jobs_are_deleted():
     evidence = failure_evidence.FailureEvidence()
     for number in range(50):
-        evidence.done("w", "q", f"j{number}")
+        evidence.record_success("w", "q", f"j{number}")
     evidence.keep_jobs({"j49"})
     assert set(evidence._jobs) == {"j49"}
--- a/laburnumsill/batch/tests/test_ledger_machine.py
+++ b/laburnumsill/batch/tests/test_ledger_machine.py
@@ -129,7 +129,7 @@
         if not runs:
             return
         record = data.draw(st.sampled_from(runs))
-        number = self.ledger.noted(record.worker_id) + 1
+        number = self.ledger.last_end(record.worker_id) + 1
         end = commands.EndedRun(number, record.run, kind, "s")
         note = commands.NoteEnds(record.worker_id, (end,), self.tick())
         for _ in range(data.draw(st.integers(1, 2))):
@@ -170,7 +170,7 @@
         for run in self.ledger.runs:
             by_step.setdefault(run.task.step_key, set()).add(run)
         assert by_step == {
-            key: set(runs) for key, runs in self.ledger.runs_of_steps.items()
+            key: set(runs) for key, runs in self.ledger.runs_by_step.items()
         }
 
     @stateful.invariant()
--- a/laburnumsill/batch/tests/test_plan_log.py
+++ b/laburnumsill/batch/tests/test_plan_log.py
@@ -24,7 +24,7 @@
         planned_site.job("waits", 2, 8, priority=1, gang=True),
     )
     made = planner.plan(
-        planner.View(
+        planner.PlannerInput(
             ledger,
             set(ledger.workers),
             frozenset(),
@@ -36,12 +36,12 @@
     log = plan_log.PlanLog(ledger, trio_clock.TrioClock(1_700_000_000.0))
     for group in made.groups:
         for placement in group:
-            log.placement(placement, "")
-    log.placement(
+            log.log_placement(placement, "")
+    log.log_placement(
         commands.Placement(model.RunId(model.TaskId("g", 0, 0, 0), 9), "w"),
         "over its capacity",
     )
-    log.waiting(made, usable=2)
+    log.log_waiting(made, usable=2)
     site = stories.story_of(lines.events_of(written.getvalue().splitlines()))
     runs = site.jobs["g"].runs.values()
     assert len(runs) == 2 and all(run.gang for run in runs)
--- a/laburnumsill/batch/tests/test_planner.py
+++ b/laburnumsill/batch/tests/test_planner.py
@@ -19,13 +19,13 @@
     (group,) = made.groups
     racks = {ledger.workers[p.worker_id].rack for p in group}
     assert len(group) == 2 and len(racks) == 1
-    planned_site.carry_out(ledger, made)
+    planned_site.apply_plan(ledger, made)
 
 
 def test_gang_that_does_not_fit_is_not_placed_in_part():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("x", 1, 1, priority=1))
-    planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
     planned_site.submit(
         ledger, planned_site.job("g", 2, 8, priority=1, gang=True)
     )
@@ -38,10 +38,10 @@
 def test_small_tasks_fill_partly_used_workers_first():
     ledger = planned_site.site()
     planned_site.submit(ledger, planned_site.job("x", 1, 2, priority=1))
-    planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
     planned_site.submit(ledger, planned_site.job("y", 3, 2, priority=1))
     made = planner.plan(planned_site.view(ledger))
-    planned_site.carry_out(ledger, made)
+    planned_site.apply_plan(ledger, made)
     assert len({run.worker_id for run in ledger.runs.values()}) == 1
 
 
@@ -51,7 +51,7 @@
         ledger, planned_site.job("saves", 1, 8, priority=1, saves_progress=True)
     )
     planned_site.submit(ledger, planned_site.job("loses", 1, 8, priority=1))
-    planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
     planned_site.submit(
         ledger,
         planned_site.job("u", 1, 8, gang=True),
@@ -75,7 +75,7 @@
 def test_runs_of_equal_priority_are_never_preempted():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("a", 2, 8))
-    planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
     planned_site.submit(ledger, planned_site.job("b", 1, 8))
     assert planner.plan(planned_site.view(ledger)).stops == []
 
@@ -95,7 +95,7 @@
 def test_long_waiting_gang_reserves_a_rack():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("x", 1, 8, priority=1))
-    planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
     planned_site.submit(
         ledger, planned_site.job("g", 2, 8, priority=1, gang=True)
     )
@@ -116,7 +116,7 @@
     planned_site.submit(ledger, model.Job("j", "q", "a", "", steps, terms))
     made = planner.plan(planned_site.view(ledger))
     assert [g[0].run.task.step for g in made.groups] == [0]
-    planned_site.carry_out(ledger, made)
+    planned_site.apply_plan(ledger, made)
     ((placement,),) = made.groups
     end = commands.EndedRun(1, placement.run, commands.EndKind.DONE)
     ledger.note_ends(commands.NoteEnds(placement.worker_id, (end,), 5))
@@ -183,7 +183,7 @@
     planned_site.submit(ledger, planned_site.job("u", 2, 8, gang=True))
     seen = planned_site.view(ledger)
     slow = {"w00": 1.3, "w01": 1.3}
-    seen = planner.View(
+    seen = planner.PlannerInput(
         ledger,
         seen.usable,
         frozenset(),
@@ -202,7 +202,7 @@
     )
 
     def seen(now_ms):
-        return planner.View(
+        return planner.PlannerInput(
             ledger,
             set(ledger.workers),
             frozenset(),
@@ -218,7 +218,7 @@
 
 def preempted_workers(ledger, slow, grace_ms):
     """Returns the workers whose runs are preempted for an urgent job of 2 s."""
-    seen = planner.View(
+    seen = planner.PlannerInput(
         ledger,
         set(ledger.workers),
         frozenset(),
@@ -260,7 +260,7 @@
     planned_site.submit(ledger, job_with_slack("batch", 16))
     made = planner.plan(with_headroom(ledger, 10))
     assert len(made.groups) == 6
-    planned_site.carry_out(ledger, made)
+    planned_site.apply_plan(ledger, made)
     assert planner.plan(with_headroom(ledger, 10)).groups == []
     assert len(planner.plan(with_headroom(ledger, 0)).groups) == 10
 
@@ -277,7 +277,7 @@
     planned_site.submit(ledger, job_with_slack("batch", 16))
     made = planner.plan(with_headroom(ledger, 16))
     assert len(made.groups) == 1
-    planned_site.carry_out(ledger, made)
+    planned_site.apply_plan(ledger, made)
     assert planner.plan(with_headroom(ledger, 16)).groups == []
 
 
@@ -321,7 +321,7 @@
     planned_site.submit(
         ledger, planned_site.job("small", 6, 1, priority=2, max_per_worker=1)
     )
-    planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
     planned_site.submit(
         ledger, planned_site.job("wide", 4, 8, priority=1, gang=True)
     )
@@ -329,8 +329,8 @@
     made = planner.plan(
         planned_site.view(ledger, now_ms=planner.RESERVE_AFTER_MS)
     )
-    taken = {p.worker_id for group in made.groups for p in group}
-    assert len(ledger.workers) - len(taken) >= 4
+    workers_used = {p.worker_id for group in made.groups for p in group}
+    assert len(ledger.workers) - len(workers_used) >= 4
 
 
 def test_workers_are_not_examined_while_nothing_waits():
@@ -344,7 +344,7 @@
 
     ledger = planned_site.site()
     planned_site.submit(ledger, planned_site.job("x", 4, 2, priority=2))
-    planned_site.carry_out(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
     view = dataclasses.replace(planned_site.view(ledger), slowness=slowness)
     made = planner.plan(view)
     assert (made.groups, made.stops, made.waiting) == ([], [], [])
--- a/laburnumsill/batch/tests/test_session.py
+++ b/laburnumsill/batch/tests/test_session.py
@@ -154,8 +154,8 @@
         await trio.sleep(1.0)
         (note,) = term.committed
         assert note.ends[0].kind is commands.EndKind.DONE
-        noted = [order.noted for order in term.client.given("report")]
-        assert noted == [0, 0, 1]  # the last report acknowledges the end
+        acknowledged = [order.last_end for order in term.client.given("report")]
+        assert acknowledged == [0, 0, 1]  # the last report acknowledges the end
 
     run_script(script)
 
@@ -332,14 +332,14 @@
         term.session.start(RUN)
         await trio.sleep(1.0)
         assert term.client.given("stop")[0] == stray
-        assert term.ledger.noted("w") == 1
+        assert term.ledger.last_end("w") == 1
 
     run_script(script)
 
 
 def test_a_report_with_a_malformed_row_releases_no_run():
     async def script(term):
-        unread = worker_client.Report(1000, (), (), unread_running=1)
+        unread = worker_client.Report(1000, (), (), malformed_running=1)
         term.client.reports = [running(), *[unread] * 8, running()]
         term.session.start(RUN)
         await trio.sleep(3.0)
@@ -360,7 +360,7 @@
     async def script(term):
         term.record_seen = seen.append
         part = worker_client.Report(
-            1000, running().running, (), unread_running=1
+            1000, running().running, (), malformed_running=1
         )
         term.client.reports = [part]
         term.session.start(RUN)
@@ -425,7 +425,7 @@
         await trio.sleep(3.0)
         assert term.client.given("stop") == [STRAY]
         reports = term.client.given("report")
-        assert [one.noted for one in reports] == [0, 0, 0, 0, 1]
+        assert [one.last_end for one in reports] == [0, 0, 0, 0, 1]
         assert {one.fence for one in reports} == {term.fence}
 
     run_script(script)
--- a/laburnumsill/batch/tests/test_waiting_gangs.py
+++ b/laburnumsill/batch/tests/test_waiting_gangs.py
@@ -40,7 +40,7 @@
     """Ends runs successfully."""
     for run in runs:
         worker_id = ledger.runs[run].worker_id
-        number = ledger.noted(worker_id) + 1
+        number = ledger.last_end(worker_id) + 1
         end = commands.EndedRun(number, run, commands.EndKind.DONE)
         ledger.note_ends(commands.NoteEnds(worker_id, (end,), LATE_MS))
 
@@ -53,7 +53,7 @@
         end_runs(ledger, oldest[:1])
         oldest = oldest[1:]
         made = late_plan(ledger)
-        planned_site.carry_out(ledger, made)
+        planned_site.apply_plan(ledger, made)
         if "wide" in planned_site.placed_jobs(made):
             return
         assert planned_site.placed_jobs(made) <= {"many"}
@@ -64,7 +64,7 @@
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 4), small("many", 48))
     made = late_plan(ledger)
-    assert len(planned_site.taken(made)) == 2
+    assert len(planned_site.workers_used(made)) == 2
 
 
 def test_only_one_of_several_waiting_gangs_gets_a_reservation():
@@ -73,36 +73,40 @@
     planned_site.submit(ledger, small("many", 48))
     made = late_plan(ledger)
     assert [unit.key[0] for unit in made.waiting] == ["first", "second", "many"]
-    assert len(planned_site.taken(made)) == 2
+    assert len(planned_site.workers_used(made)) == 2
 
 
 def test_gang_that_fits_into_a_rack_reserves_one_rack():
     ledger = occupied_site(racks=3, per_rack=3)
     planned_site.submit(ledger, gang("g", 3), small("many", 80))
     made = late_plan(ledger)
-    racks = [ledger.workers[one].rack for one in planned_site.taken(made)]
+    racks = [
+        ledger.workers[one].rack for one in planned_site.workers_used(made)
+    ]
     assert len(racks) == 6 and len(set(racks)) == 2
 
 
 def test_reservation_moves_to_a_worker_that_becomes_empty():
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 4), small("many", 48))
-    reserved = set(ledger.workers) - planned_site.taken(late_plan(ledger))
+    reserved = set(ledger.workers) - planned_site.workers_used(
+        late_plan(ledger)
+    )
     other = min(set(ledger.workers) - reserved)
     end_runs(ledger, list(ledger.runs_on(other)))
-    assert other not in planned_site.taken(late_plan(ledger))
+    assert other not in planned_site.workers_used(late_plan(ledger))
 
 
 def test_reservation_replaces_a_lost_worker():
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("wide", 4), small("many", 48))
     made = late_plan(ledger)
-    reserved = set(ledger.workers) - planned_site.taken(made)
+    reserved = set(ledger.workers) - planned_site.workers_used(made)
     gone = min(reserved)
     ledger.cancel(caller_commands.CancelJob(f"on-{gone}", LATE_MS))
     planned_site.lose_worker(ledger, gone)
-    made = late_plan(ledger, kept_racks=made.kept_racks)
-    assert len(planned_site.taken(made)) == 1
+    made = late_plan(ledger, reserved_racks=made.reserved_racks)
+    assert len(planned_site.workers_used(made)) == 1
 
 
 def test_gang_too_large_for_the_remaining_workers_gets_no_reservation():
@@ -111,7 +115,7 @@
     planned_site.submit(ledger, gang("wide", 6), small("many", 48))
     planned_site.lose_worker(ledger, "w00")
     made = late_plan(ledger)
-    assert planned_site.taken(made) == set(ledger.workers)
+    assert planned_site.workers_used(made) == set(ledger.workers)
 
 
 def test_reservation_moves_to_another_rack_when_a_worker_is_lost():
@@ -119,11 +123,11 @@
     ledger = occupied_site(racks=2, per_rack=3)
     planned_site.submit(ledger, gang("g", 3, same_rack=True))
     made = late_plan(ledger)
-    (rack,) = made.kept_racks.values()
+    (rack,) = made.reserved_racks.values()
     gone = min(w for w in ledger.workers if ledger.workers[w].rack == rack)
     planned_site.lose_worker(ledger, gone)
-    again = late_plan(ledger, kept_racks=made.kept_racks)
-    (other,) = again.kept_racks.values()
+    again = late_plan(ledger, reserved_racks=made.reserved_racks)
+    (other,) = again.reserved_racks.values()
     assert other != rack
 
 
@@ -136,7 +140,7 @@
     planned_site.submit(ledger, gang("g", 3), small("many", 48))
     racks = {
         ledger.workers[one].rack
-        for one in planned_site.taken(late_plan(ledger))
+        for one in planned_site.workers_used(late_plan(ledger))
     }
     assert racks == {"r0"}
 
@@ -162,7 +166,7 @@
     planned_site.submit(ledger, gang("wide", 4, priority=0), urgent)
     made = late_plan(ledger)
     assert made.stops == []
-    assert len(planned_site.taken(made)) == 2
+    assert len(planned_site.workers_used(made)) == 2
 
 
 def mostly_reserved_site():
@@ -179,10 +183,10 @@
     ledger = mostly_reserved_site()
     planned_site.submit(ledger, small("many", 48))
     made = late_plan(ledger)
-    planned_site.carry_out(ledger, made)
+    planned_site.apply_plan(ledger, made)
     assert [len(group) for group in made.groups] == [1]
     # The gang waits for this worker in any case.
-    assert planned_site.taken(made) == {"w01"}
+    assert planned_site.workers_used(made) == {"w01"}
     assert late_plan(ledger).groups == []
 
 
@@ -223,7 +227,7 @@
     )
     planned_site.submit(ledger, second)
     made = late_plan(ledger)
-    assert made.kept_racks == {("first", 0, 0): "r0"}
+    assert made.reserved_racks == {("first", 0, 0): "r0"}
     assert made.groups == []
 
 
--- a/laburnumsill/batch/tests/test_worker_health.py
+++ b/laburnumsill/batch/tests/test_worker_health.py
@@ -27,8 +27,8 @@
     assert not failed(health, "w", "a", 1.0)
     assert not failed(health, "w", "a", 2.0)  # one bad job proves nothing
     assert failed(health, "w", "b", 3.0)
-    assert health.set_aside("w", 3.1)
-    assert not health.set_aside("w", 3.0 + worker_health.QUARANTINE_S)
+    assert health.is_quarantined("w", 3.1)
+    assert not health.is_quarantined("w", 3.0 + worker_health.QUARANTINE_S)
 
 
 def test_a_success_clears_earlier_failures_of_a_worker():
@@ -47,7 +47,7 @@
         while not failed(health, "w", f"j{number}{now}", now):
             now += 0.1
         began = now
-        while health.set_aside("w", now):
+        while health.is_quarantined("w", now):
             now += 0.1
         durations.append(round(now - began))
     assert durations == [4, 8, 16, 16]
@@ -56,11 +56,11 @@
 def test_a_task_avoids_workers_on_which_it_failed():
     health = worker_health.WorkerHealth()
     failed(health, "w", "a", 1.0)
-    assert health.avoid(run("a").task) == {"w"}
+    assert health.avoided_workers(run("a").task) == {"w"}
     health.keep_jobs({"a"})
-    assert health.avoid(run("a").task) == {"w"}
+    assert health.avoided_workers(run("a").task) == {"w"}
     health.keep_jobs({"b"})
-    assert health.avoid(run("a").task) == set()
+    assert health.avoided_workers(run("a").task) == set()
 
 
 def test_a_run_without_progress_is_stalled():
@@ -92,9 +92,9 @@
         done = end(run_id, commands.EndKind.DONE)
         health.observe_end(worker, done, STEP, took)
     now = 2.0
-    lately = health.slowness_lately
-    assert lately("slow", now) >= worker_speeds.NOTICEABLY_SLOW
-    assert lately("w4", now) < worker_speeds.NOTICEABLY_SLOW
+    lately = health.recent_slowness
+    assert lately("slow", now) >= worker_speeds.SLOW_RATIO
+    assert lately("w4", now) < worker_speeds.SLOW_RATIO
     assert lately("unknown", now) == 1.0
 
 
@@ -105,7 +105,7 @@
         health.observe_start(run_id, 0.0)
         done = end(run_id, commands.EndKind.DONE)
         health.observe_end(f"w{index}", done, GANG, float(1 + index))
-    assert health.slowness_lately("w7", 9.0) == 1.0
+    assert health.recent_slowness("w7", 9.0) == 1.0
 
 
 def end_eight_runs(health, step, slow_s):
@@ -123,12 +123,12 @@
     health = worker_health.WorkerHealth()
     far = model.Step(8, model.Resources(1000, 64, 1), data_rack="r1")
     end_eight_runs(health, far, 3.0)
-    assert health.slowness_lately("slow", 3.0) == 1.0
+    assert health.recent_slowness("slow", 3.0) == 1.0
 
 
 def test_a_very_slow_worker_recovers_after_the_sliding_window():
     health = worker_health.WorkerHealth()
     end_eight_runs(health, STEP, 5.0)
-    assert health.slowness_lately("slow", 6.0) >= worker_health.VERY_SLOW
+    assert health.recent_slowness("slow", 6.0) >= worker_health.VERY_SLOW_RATIO
     later = 6.0 + worker_health.RECENT_RATIO_WINDOW_S
-    assert health.slowness_lately("slow", later) < worker_health.VERY_SLOW
+    assert health.recent_slowness("slow", later) < worker_health.VERY_SLOW_RATIO
--- a/laburnumsill/batch/tests/test_worker_incarnations.py
+++ b/laburnumsill/batch/tests/test_worker_incarnations.py
@@ -44,7 +44,7 @@
     for one in (ledger, restored):
         one.put_worker(commands.PutWorker(worker(), 4))
         assert "w" not in one.workers
-        assert one.may_forget(ENDED_MS + 1)
+        assert one.has_expired_records(ENDED_MS + 1)
         one.forget(commands.ForgetJobs(ENDED_MS + 1))
         assert not one.has_ended("w")
 
@@ -88,7 +88,7 @@
         await trio.sleep(0.5)
         assert set(site.ledger.workers) == {"reborn"}
         # Models a leader that does not know that the old worker has ended.
-        site.ledger._book.ended.clear()
+        site.ledger._registry.ended.clear()
         site.announce(old, 100)
         await site.submit(gang("j", 2), [1.0])
         await trio.sleep(1.5)
@@ -316,7 +316,7 @@
     record = ledger.runs[run]
     assert (record.worker_id, record.is_stray) == ("w@9", True)
     assert list(ledger.runs_on("w@9")) == [run]
-    assert ledger.noted("w@9") == ledger.sequence("w") == 0
+    assert ledger.last_end("w@9") == ledger.last_sequence("w") == 0
     done = commands.EndedRun(1, run, commands.EndKind.DONE)
     ledger.note_ends(commands.NoteEnds("w@9", (done,), 6))
     assert ledger.jobs["j"].done
--- a/laburnumsill/batch/units.py
+++ b/laburnumsill/batch/units.py
@@ -200,7 +200,7 @@
     tasks: abc.Set[model.TaskId],
 ) -> bool:
     """Returns whether any of some tasks of a step has a live run."""
-    return any(run.task in tasks for run in ledger.runs_of_steps.get(key, ()))
+    return any(run.task in tasks for run in ledger.runs_by_step.get(key, ()))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/laburnumsill/batch/worker_capacity.py
+++ b/laburnumsill/batch/worker_capacity.py
@@ -130,7 +130,7 @@
     candidates: abc.Mapping[str, Candidate],
 ) -> None:
     """Adds the capacity used by long-running runs, except stopping ones."""
-    for (job_id, _, number), runs in ledger.runs_of_steps.items():
+    for (job_id, _, number), runs in ledger.runs_by_step.items():
         step = ledger.jobs[job_id].job.steps[number]
         if not step.long_running:
             continue
--- a/laburnumsill/batch/worker_client.py
+++ b/laburnumsill/batch/worker_client.py
@@ -102,16 +102,16 @@
         clock_ms: The worker's clock when it answered.
         running: All runs on the worker.
         ended: Ends in the order of their numbers.
-        unread_running: Number of malformed rows of running runs. If there are
-            any, a run that is missing in `running` may be running.
-        unread_ended: Number of malformed rows of ends.
+        malformed_running: Number of malformed rows of running runs. If there
+            are any, a run that is missing in `running` may be running.
+        malformed_ended: Number of malformed rows of ends.
     """
 
     clock_ms: int
     running: tuple[RunningRun, ...]
     ended: tuple[commands.EndedRun, ...]
-    unread_running: int = 0
-    unread_ended: int = 0
+    malformed_running: int = 0
+    malformed_ended: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -140,15 +140,15 @@
     Attributes:
         lease_ms: End of the lease, on the worker's clock; None for no renewal.
         fence: The term of the leader that gives the order.
-        noted: Number of the last recorded end; the worker may drop the ends up
-            to it.
+        last_end: Number of the last recorded end; the worker may drop the ends
+            up to it.
         wait_ms: Long-poll timeout: longest time for which the worker may wait
             for an end before it answers, in ms.
     """
 
     lease_ms: int | None
     fence: int
-    noted: int
+    last_end: int
     wait_ms: int
 
 
--- a/laburnumsill/batch/worker_health.py
+++ b/laburnumsill/batch/worker_health.py
@@ -32,10 +32,10 @@
 MAX_RATIO_SAMPLES = 12
 """Number of newest relative run times that are kept of a worker."""
 
-VERY_SLOW = 2.0
+VERY_SLOW_RATIO = 2.0
 """Relative run time from which a worker is used only as a last resort."""
 
-NOT_VERY_SLOW = VERY_SLOW - 0.01
+MAX_SLOW_RATIO = VERY_SLOW_RATIO - 0.01
 """Upper bound of the relative run time of a worker that is not very slow."""
 
 RECENT_RATIO_WINDOW_S = 10.0
@@ -86,12 +86,12 @@
         self._durations: dict[model.StepKey, list[float]] = {}
         self._evidence = failure_evidence.FailureEvidence()
 
-    def set_aside(self, worker_id: str, now: float) -> bool:
+    def is_quarantined(self, worker_id: str, now: float) -> bool:
         """Returns whether a worker is in quarantine."""
         record = self._workers.get(worker_id)
         return record is not None and now < record.quarantined_until
 
-    def slowness_lately(self, worker_id: str, now: float) -> float:
+    def recent_slowness(self, worker_id: str, now: float) -> float:
         """Returns the median relative run time in the sliding window.
 
         1.0 if there is none. `worker_speeds` estimates the long-term value.
@@ -103,7 +103,7 @@
         recent = [ratio for at, ratio in record.ratios if at >= window_start]
         return statistics.median(recent) if recent else 1.0
 
-    def avoid(self, task: model.TaskId) -> abc.Set[str]:
+    def avoided_workers(self, task: model.TaskId) -> abc.Set[str]:
         """Returns the workers on which a task has failed or stalled."""
         return self._failed_on.get(task, set())
 
@@ -135,16 +135,20 @@
         progress = self._progress_by_run.pop(end.run, None)
         record = self._workers.setdefault(worker_id, _WorkerRecord())
         if end.kind is commands.EndKind.DONE:
-            self._evidence.done(worker_id, queue, end.run.task.job_id)
+            self._evidence.record_success(worker_id, queue, end.run.task.job_id)
             record.quarantine_s = 0.0
-            if progress is not None and step.tells_speed and not end.saved:
+            if (
+                progress is not None
+                and step.measures_worker_speed
+                and not end.saved
+            ):
                 self._compare(record, end.run, progress.started_at, now)
             return False
         if end.kind is not commands.EndKind.FAILED:
             return False
         self._failed_on.setdefault(end.run.task, set()).add(worker_id)
         job_id = end.run.task.job_id
-        if not self._evidence.failed(worker_id, queue, job_id, now):
+        if not self._evidence.record_failure(worker_id, queue, job_id, now):
             return False
         self._quarantine(record, now)
         return True
--- a/laburnumsill/batch/worker_registry.py
+++ b/laburnumsill/batch/worker_registry.py
@@ -23,7 +23,7 @@
 
     Attributes:
         workers: The present workers, by id.
-        noted: By worker id: number of the last recorded end.
+        last_ends: By worker id: number of the last recorded end.
         sequences: By worker id: sequence number of the last applied
             announcement.
         ended: By worker id: when an incarnation ended, ms since 1970; holds
@@ -42,7 +42,7 @@
 
     def __init__(self) -> None:
         self.workers: dict[str, model.Worker] = {}
-        self.noted: dict[str, int] = {}
+        self.last_ends: dict[str, int] = {}
         self.sequences: dict[str, int] = {}
         self.ended: dict[str, int] = {}
         self._slot_counts: dict[tuple[str, model.Resources], int] = {}
@@ -57,7 +57,7 @@
             if len(self._slot_counts) >= MAX_SLOT_COUNTS:
                 self._slot_counts.clear()
             self._slot_counts[key] = sum(
-                needs.times_in(worker.capacity)
+                needs.copies_in(worker.capacity)
                 for worker in self.workers.values()
                 if worker.pool == pool
             )
@@ -81,7 +81,7 @@
     def record_ends(self, worker_id: str, last: int) -> None:
         """Records the number of a worker's last recorded end."""
         if worker_id not in self.ended:
-            self.noted[worker_id] = last
+            self.last_ends[worker_id] = last
 
     def remove(self, worker_id: str, ended_ms: int) -> None:
         """Removes a worker.
@@ -97,12 +97,12 @@
         worker = self.workers.pop(worker_id, None)
         self._slot_counts.clear()
         if ended_ms:
-            self.noted.pop(worker_id, None)
+            self.last_ends.pop(worker_id, None)
             self.ended[worker_id] = ended_ms
         was_active = worker is not None and not worker.draining
         if ended_ms or was_active:
             self.sequences.pop(worker_id, None)
-        self._trim_absent(self.noted)
+        self._trim_absent(self.last_ends)
         self._trim_absent(self.sequences)
 
     def forget(self, before_ms: int) -> None:
--- a/laburnumsill/batch/worker_speeds.py
+++ b/laburnumsill/batch/worker_speeds.py
@@ -20,7 +20,7 @@
 from laburnumsill.batch import model
 from laburnumsill.batch import run_timer
 
-NOTICEABLY_SLOW = 1.12
+SLOW_RATIO = 1.12
 """Relative run time from which a worker counts as slow."""
 
 SAMPLES_PER_WORKER = 16
@@ -92,7 +92,7 @@
 
     def observe(self, command: object) -> None:
         """Updates the estimates after a command was applied to the ledger."""
-        done = self._timer.done_by(command)
+        done = self._timer.observe(command)
         for run in done:
             self._add(run.task, run.worker_id, math.log(run.took_ms / 1000))
         if done:
@@ -145,4 +145,4 @@
 
 def _is_comparable(step: model.Step, _: commands.Group) -> bool:
     """Returns whether a run's time is a measure of its worker's speed."""
-    return step.tells_speed
+    return step.measures_worker_speed
--- a/laburnumsill/batch/worker_state.py
+++ b/laburnumsill/batch/worker_state.py
@@ -73,7 +73,7 @@
         now = term.clock.monotonic()
         self.worker = worker
         self.term = term
-        self.leases = lease_module.LeaseBook(term.longest_lease_ms, now)
+        self.leases = lease_module.LeaseTracker(term.longest_lease_ms, now)
         self.running: dict[model.RunId, worker_client.RunningRun] = {}
         self.started: dict[model.RunId, int] = {}
         self.starting: set[model.RunId] = set()
@@ -129,7 +129,7 @@
         now = self.term.clock.monotonic()
         self.last_contact_at = now
         if clock_ms is not None:
-            self.leases.observe(clock_ms, now)
+            self.leases.observe_clock(clock_ms, now)
 
     async def probe(self) -> None:
         """Probes the worker with a report that renews no lease.
@@ -139,7 +139,7 @@
                 incarnation did.
         """
         now = self.term.clock.monotonic()
-        last_end = self.term.ledger.noted(self.worker_id)
+        last_end = self.term.ledger.last_end(self.worker_id)
         order = worker_client.ReportOrder(None, self.term.fence, last_end, 0)
         deadline = now + self.term.order_timeout.seconds
         report = await self.term.client.report(self.worker, order, deadline)
--- a/laburnumsill/daemon/core_role.py
+++ b/laburnumsill/daemon/core_role.py
@@ -73,14 +73,14 @@
         self._set_make_up()
         self._configuration: site.SiteConfiguration | None = None
         self._scheduler = scheduler.Scheduler(
-            leading.Context(
+            leading.SchedulerContext(
                 role.SITE_GROUP,
                 self._host,
                 workers.PlatformWorkerClient(self._clock),
                 self._guarantees,
                 self._clock,
                 self._metrics,
-                leading.WorkerBounds(
+                leading.WorkerLimits(
                     settings.bounds.longest_lease_ms,
                     settings.bounds.stop_grace_ms,
                 ),
@@ -154,7 +154,7 @@
     def _make_machine(self, group: str) -> replication.StateMachine:
         """Returns an empty state machine that the scheduler follows."""
         machine = site_machine(group)
-        self._scheduler.follow(machine)
+        self._scheduler.observe_machine(machine)
         return machine
 
     def _set_make_up(self) -> None:
--- a/laburnumsill/emulator/load.py
+++ b/laburnumsill/emulator/load.py
@@ -106,7 +106,7 @@
         A step that is wider than a quarter of the site may run in waves.
         """
         workers = self.racks * self.per_rack
-        slots = workers * step.needs.times_in(self.capacity)
+        slots = workers * step.needs.copies_in(self.capacity)
         return math.ceil(step.tasks / max(1, slots // 4))
 
 
@@ -283,7 +283,7 @@
     def core_s(self) -> float:
         """The work of all tasks, in core-seconds."""
         return sum(
-            step.tasks * work * model.weight(step.needs)
+            step.tasks * work * model.core_equivalents(step.needs)
             for step, work in zip(self.job.steps, self.work_s, strict=True)
         )
 
@@ -372,7 +372,7 @@
         kind.cpu_millis, kind.memory_mb, source.choice(kind.accelerators)
     )
     # A gang that no rack holds would be late whatever is done.
-    one_rack = tasks <= shape.per_rack * needs.times_in(shape.capacity)
+    one_rack = tasks <= shape.per_rack * needs.copies_in(shape.capacity)
     return model.Step(
         tasks,
         needs,
--- a/laburnumsill/emulator/site.py
+++ b/laburnumsill/emulator/site.py
@@ -121,14 +121,14 @@
         self._clock = trio_clock.TrioClock(EPOCH)
         self.schedulers = {
             vm: schedulers.Scheduler(
-                leading.Context(
+                leading.SchedulerContext(
                     GROUP,
                     leadership.VmGroups(self.groups, vm),
                     leadership.VmClient(self.groups, vm, self.client),
                     lambda: self.guarantees,
                     self._clock,
                     metrics_module.Metrics(),
-                    leading.WorkerBounds(
+                    leading.WorkerLimits(
                         worker_module.LONGEST_LEASE_MS, int(1000 * stop_grace_s)
                     ),
                     _named_pools,
@@ -138,7 +138,7 @@
             for vm in ("vm1", "vm2")
         }
         for scheduler in self.schedulers.values():
-            scheduler.follow(machine)
+            scheduler.observe_machine(machine)
         handlers: dict[tuple[str, type], replication.AsyncHandler] = {}
         self.intakes = {
             vm: intake.WorkerIntake(
@@ -318,7 +318,9 @@
     def _hear(self, worker: worker_module.EmulatedWorker) -> None:
         for vm, scheduler in self.schedulers.items():
             if not self.groups.sleeps(vm):
-                scheduler.hear(worker.worker.worker_id, worker.clock_ms)
+                scheduler.observe_heartbeat(
+                    worker.worker.worker_id, worker.clock_ms
+                )
 
     async def _announce_change(
         self, changed: worker_module.EmulatedWorker
--- a/laburnumsill/emulator/tests/test_planning_share.py
+++ b/laburnumsill/emulator/tests/test_planning_share.py
@@ -34,10 +34,10 @@
             ends_at = trio.current_time() + WATCHED_S
             while trio.current_time() < ends_at:
                 for scheduler in site.schedulers.values():
-                    scheduler.notice(object())
+                    scheduler.on_command(object())
                 await trio.sleep(0.001)
             nursery.cancel_scope.cancel()
 
     trio.run(main, clock=clock)
     assert plans
-    assert plans * PLAN_S <= 1.1 * leading.PLANNING_SHARE * WATCHED_S
+    assert plans * PLAN_S <= 1.1 * leading.MAX_PLANNING_SHARE * WATCHED_S
--- a/laburnumsill/emulator/tests/test_restarted_workers.py
+++ b/laburnumsill/emulator/tests/test_restarted_workers.py
@@ -121,7 +121,7 @@
         await trio.sleep(6.0)
         (here,) = site.ledger.workers.values()
         assert here.call_name == old.call_name
-        site.ledger._book.ended.clear()
+        site.ledger._registry.ended.clear()
         late = intakes.Announcement(old, 900, 1000)
         await site.intakes["vm2"].announce(late)
         await site.submit(job("j", 2), [0.5])
--- a/laburnumsill/emulator/workers.py
+++ b/laburnumsill/emulator/workers.py
@@ -194,7 +194,7 @@
         self._check(order.fence)
         if order.lease_ms is not None:
             self._prolong(order.lease_ms)
-        self._note(order.noted)
+        self._note(order.last_end)
         with trio.move_on_after(order.wait_ms / 1000):
             while not self._ends and not self.is_down:
                 await self._changed.wait()
@@ -355,7 +355,7 @@
     def count_lost(self, step: model.Step, done_s: float, saved: str) -> None:
         """Counts work that was done and not saved."""
         kept = float(saved) if saved else 0.0
-        self.lost_core_s += (done_s - kept) * model.weight(step.needs)
+        self.lost_core_s += (done_s - kept) * model.core_equivalents(step.needs)
 
     async def run(self) -> None:
         """Lets all work until cancelled."""
--- a/laburnumsill/platform/caller_app.py
+++ b/laburnumsill/platform/caller_app.py
@@ -142,7 +142,7 @@
     ) -> http.Answer:
         method = call.request.method
         if not call.job and method == "GET":
-            count = await self._jobs.pending(queue.name, deadline)
+            count = await self._jobs.pending_jobs(queue.name, deadline)
             return http.json_answer(200, {"pending": count})
         if not decoding.is_job_id(call.job):
             return http.Answer(404)
@@ -152,7 +152,7 @@
             await self._jobs.submit(job, deadline)
             return http.json_answer(200, {})
         if method == "GET":
-            state = await self._jobs.state(call.job, deadline)
+            state = await self._jobs.job_state(call.job, deadline)
             return http.json_answer(200, {"state": state})
         if method == "DELETE":
             await self._jobs.cancel(call.job, deadline)
--- a/laburnumsill/platform/tests/test_reports.py
+++ b/laburnumsill/platform/tests/test_reports.py
@@ -167,8 +167,8 @@
 def test_rows_of_any_kind_are_read_or_counted_as_unread(rows):
     lines = []
     report = ask(answer(running=rows, ended=rows), lines)
-    assert len(report.running) + report.unread_running == len(rows)
-    assert len(report.ended) + report.unread_ended == len(rows)
+    assert len(report.running) + report.malformed_running == len(rows)
+    assert len(report.ended) + report.malformed_ended == len(rows)
 
 
 BORN_MS = 1_700_000_000_000
--- a/laburnumsill/platform/tests/test_roles.py
+++ b/laburnumsill/platform/tests/test_roles.py
@@ -176,10 +176,10 @@
     """It would plan every half second only, were it to lead."""
     heard = []
 
-    def notice(self, command):
+    def on_command(self, command):
         heard.append((self, type(command)))
 
-    monkeypatch.setattr(schedulers.Scheduler, "notice", notice)
+    monkeypatch.setattr(schedulers.Scheduler, "on_command", on_command)
     spare = "127.0.77.4"
     await site.start_core(spare)
     joined = site.daemons[spare]._scheduler
--- a/laburnumsill/platform/workers.py
+++ b/laburnumsill/platform/workers.py
@@ -76,7 +76,7 @@
         """Asks for a report, see the base class."""
         body: dict[str, object] = {
             "fence": order.fence,
-            "ack_cursor": order.noted,
+            "ack_cursor": order.last_end,
         }
         if order.lease_ms is not None:
             body["deadline_at_ms"] = order.lease_ms
