--- a/laburnumsill/batch/contested_workers.py
+++ b/laburnumsill/batch/contested_workers.py
@@ -16,7 +16,7 @@
     contested, since anyone may have announced it.
 
     Args:
-        workers: All known workers.
+        workers: All workers in the ledger.
         configured_pools: The pools in the configuration.
 
     Examples:
--- a/laburnumsill/batch/crashes.py
+++ b/laburnumsill/batch/crashes.py
@@ -36,9 +36,9 @@
 are limited to `MAX_LATER_STARTS`."""
 
 MAX_LATER_STARTS = 2
-"""Maximum number of those starts. `BLAME_LIMIT` does not bound them: if
-another member of the gang crashes its worker first each time, the blame of the
-task does not grow."""
+"""Maximum number of starts of a task after `CRASHES_BEFORE_START_LIMIT`
+crashes. `BLAME_LIMIT` does not bound these starts: if another member of the
+gang crashes its worker first each time, the blame of the task does not grow."""
 
 MAX_LOSSES = 1_000
 """Maximum number of lost workers that are recorded until it is known whether
--- a/laburnumsill/batch/gateway.py
+++ b/laburnumsill/batch/gateway.py
@@ -14,7 +14,7 @@
 
 
 class UnknownJobError(errors.NotFoundError):
-    """There is no such job, or it ended long ago."""
+    """There is no record of the job; records expire some time after the end."""
 
     slug = "unknown-job"
     title = "Unknown job"
@@ -23,10 +23,10 @@
 class JobGateway:
     """Submits, cancels and queries jobs in the group of the ledger.
 
-    Deadlines are monotonic. A command may use all the time to its deadline: one
-    that no leader can accept fails as soon as that is known, and one with an
-    unknown outcome is queried until the outcome is known, since its caller
-    could not safely retry it.
+    Deadlines are monotonic. A command may use all the time to its deadline. It
+    fails early if no leader can accept it. If its outcome is unknown, the
+    outcome is queried until it is known, since the caller could not safely
+    retry the command.
 
     Args:
         group: The group whose state machine holds the ledger.
--- a/laburnumsill/batch/intake.py
+++ b/laburnumsill/batch/intake.py
@@ -62,7 +62,7 @@
 
 
 class ContradictoryAnnouncementError(errors.ConflictError):
-    """A known worker was announced for a pool that is not configured."""
+    """A registered worker was announced for a pool that is not configured."""
 
     slug = "contradictory-announcement"
     title = "The announcement contradicts what is known"
@@ -132,8 +132,8 @@
         ledger = self._ledger()
         self._reset_on_new_term()
         ended = ledger.has_ended(worker_id)
-        recorded = self._newest_sequences.get(worker_id)
-        newest = max(ledger.last_sequence(worker_id), recorded or 0)
+        newest_here = self._newest_sequences.get(worker_id)
+        newest = max(ledger.last_sequence(worker_id), newest_here or 0)
         if ended or sequence < newest:
             logs.decision(
                 "announcement-overtaken",
@@ -143,13 +143,13 @@
                 ended=ended,
             )
             return Taken(self._vm_id)
-        known = ledger.workers.get(worker_id)
-        if known is not None:
-            self._check_pool(known, worker.pool)
+        registered = ledger.workers.get(worker_id)
+        if registered is not None:
+            self._check_pool(registered, worker.pool)
         self._record_sequence(worker_id, sequence)
-        if known is not None and recorded is None:
-            worker = _capped_at_known(known, worker)
-        if known != worker:
+        if registered is not None and newest_here is None:
+            worker = _cap_capacity(registered, worker)
+        if registered != worker:
             await self._put(worker, sequence)
         self._scheduler.observe_heartbeat(worker_id, announcement.clock_ms)
         return Taken(self._vm_id)
@@ -170,12 +170,15 @@
         A delayed announcement, sent earlier, is recognized by a lower number.
         """
         self._newest_sequences[worker_id] = sequence
-        known = self._ledger().workers
-        if len(self._newest_sequences) > len(known) + MAX_UNKNOWN_SEQUENCES:
+        registered = self._ledger().workers
+        if (
+            len(self._newest_sequences)
+            > len(registered) + MAX_UNKNOWN_SEQUENCES
+        ):
             self._newest_sequences = {
-                one: newest
-                for one, newest in self._newest_sequences.items()
-                if one in known
+                other: newest
+                for other, newest in self._newest_sequences.items()
+                if other in registered
             }
 
     async def _put(self, worker: model.Worker, sequence: int) -> None:
@@ -194,7 +197,7 @@
             sequence=sequence,
         )
 
-    def _check_pool(self, known: model.Worker, pool: str) -> None:
+    def _check_pool(self, registered: model.Worker, pool: str) -> None:
         """Checks that a worker does not change to an unconfigured pool.
 
         An incarnation belongs to one pool. If two announcements with its id
@@ -203,16 +206,17 @@
 
         Raises:
             ContradictoryAnnouncementError: `pool` is not configured, but the
-                known pool is.
+                registered pool is.
         """
         configured = self._pools()
         if (
-            pool != known.pool
-            and known.pool in configured
+            pool != registered.pool
+            and registered.pool in configured
             and pool not in configured
         ):
             raise ContradictoryAnnouncementError(
-                f"{known.worker_id} works for {known.pool!r}, not {pool!r}"
+                f"{registered.worker_id} works for {registered.pool!r}, "
+                f"not {pool!r}"
             )
 
     async def _on_departure(self, departure: Departure) -> Taken:
@@ -253,20 +257,22 @@
 
     If incarnations share a name, a departure may arrive after its sender's
     successor has been announced, so it applies to draining incarnations only.
-    The end of another one is detected when it does not answer.
+    The end of any other incarnation is detected when it does not answer.
     """
-    named = [one for one in ledger.workers_named(name) if one.name]
+    named = [worker for worker in ledger.workers_named(name) if worker.name]
     if not named and not ledger.has_ended(name):
         return [name]
-    return [one.worker_id for one in named if one.draining]
+    return [worker.worker_id for worker in named if worker.draining]
 
 
-def _capped_at_known(known: model.Worker, worker: model.Worker) -> model.Worker:
-    """Returns a worker's data with the capacity capped at the known one.
+def _cap_capacity(
+    registered: model.Worker, worker: model.Worker
+) -> model.Worker:
+    """Returns a worker's data with its capacity capped at the registered one.
 
-    A leader that has no sequence number of the worker cannot tell whether the
-    announcement was sent before the worker's capacity shrank. It accepts a
+    A leader that has no sequence number of the worker cannot determine whether
+    the announcement was sent before the worker's capacity shrank. It accepts a
     larger capacity with the next announcement.
     """
-    capacity = known.capacity.elementwise_min(worker.capacity)
+    capacity = registered.capacity.elementwise_min(worker.capacity)
     return msgspec.structs.replace(worker, capacity=capacity)
--- a/laburnumsill/batch/isolation.py
+++ b/laburnumsill/batch/isolation.py
@@ -25,11 +25,11 @@
     without_suspects = [
         candidate for candidate in candidates if not candidate.has_suspect
     ]
-    found = fit(without_suspects)
-    if len(found) == len(unit.tasks) or len(without_suspects) == len(
+    assignment = fit(without_suspects)
+    if len(assignment) == len(unit.tasks) or len(without_suspects) == len(
         candidates
     ):
-        return found
+        return assignment
     return fit(candidates)
 
 
@@ -47,11 +47,11 @@
         fit: Returns an assignment to some of them.
         may_share: Whether it may share a worker with other runs.
     """
-    found = fit(
+    assignment = fit(
         [candidate for candidate in candidates if not candidate.run_count]
     )
-    if found or not may_share:
-        return found
+    if assignment or not may_share:
+        return assignment
     without_suspects = [
         candidate for candidate in candidates if not candidate.has_suspect
     ] or candidates
--- a/laburnumsill/batch/last_leader.py
+++ b/laburnumsill/batch/last_leader.py
@@ -1,4 +1,4 @@
-"""Time at which a VM last knew of a leader, before it leads itself.
+"""Time at which a VM last knew of a leader, before it becomes the leader.
 
 The workers' data in the ledger may be as old as this time: without a leader no
 announcement is recorded.
--- a/laburnumsill/batch/leading.py
+++ b/laburnumsill/batch/leading.py
@@ -1,9 +1,9 @@
 """Scheduling on the leader: worker sessions, planning and housekeeping.
 
 Each worker has one session. Changes of the ledger or of a worker's state
-trigger a new plan. Housekeeping removes silent workers and jobs that ended long
-ago. When leadership is lost, everything is cancelled; the next leader finds in
-the ledger which runs may exist.
+trigger a new plan. Housekeeping removes silent workers and the expired records
+of ended jobs. When leadership is lost, everything is cancelled; the next leader
+finds in the ledger which runs may exist.
 """
 
 import dataclasses
@@ -65,13 +65,14 @@
 """Silence after which a worker is removed, once its leases have expired."""
 
 ENDED_JOB_RETENTION_S = 300.0
-"""Time for which ended jobs are kept; the users require at least 120 s."""
+"""Time for which records of ended jobs are kept; the users require at least
+120 s."""
 
 URGENT_STOP_REASON = "an urgent job needs the room"
 """Logged reason of the stops that a plan demands."""
 
 RETENTION_CHECK_INTERVAL_S = 30
-"""Interval at which expired jobs are removed."""
+"""Interval of the deletion of expired records of jobs, in s."""
 
 
 class LeadLostError(errors.UnavailableError):
@@ -183,7 +184,7 @@
                 await self._run_planner()
 
     def is_served(self, pool: str) -> bool:
-        """Returns whether a pool is configured, or a known job is for it."""
+        """Returns whether a pool is configured or a recorded job uses it."""
         if pool in self._context.pools():
             return True
         jobs = self.ledger.jobs.values()
@@ -328,7 +329,9 @@
         groups = [
             group
             for group in groups
-            if unreachable.isdisjoint(one.worker_id for one in group)
+            if unreachable.isdisjoint(
+                placement.worker_id for placement in group
+            )
         ]
         if unreachable:
             self.request_plan()
@@ -349,7 +352,7 @@
         async with trio.open_nursery() as nursery:
             # Sorted, so that an emulator run is reproducible.
             for worker_id in sorted(
-                {one.worker_id for group in groups for one in group}
+                {placement.worker_id for group in groups for placement in group}
             ):
                 nursery.start_soon(probe, worker_id)
         return unreachable
@@ -381,10 +384,10 @@
         }
 
     def _stopping(self) -> set[model.RunId]:
-        found: set[model.RunId] = set()
+        stopping: set[model.RunId] = set()
         for session in self._sessions.values():
-            found |= session.stopping
-        return found
+            stopping |= session.stopping
+        return stopping
 
     def _stop(self, run: model.RunId, reason: str, for_job: str = "") -> None:
         record = self.ledger.runs.get(run)
@@ -482,7 +485,7 @@
             self.request_plan()
 
     async def _forget_ended_jobs(self) -> None:
-        """Removes jobs whose retention time is over, in batches."""
+        """Deletes ended jobs after their retention time, in batches."""
         now_ms = self.clock.wall_ms()
         self.health.keep_jobs(self.ledger.active_jobs)
         if now_ms < self._next_retention_check_ms:
--- a/laburnumsill/batch/leases.py
+++ b/laburnumsill/batch/leases.py
@@ -1,4 +1,4 @@
-"""Leases on workers: how long runs may continue without the scheduler.
+"""Leases on workers: the time for which runs continue without the scheduler.
 
 A lease ends at a time on the worker's own clock, so a delayed order does not
 extend it. The scheduler knows that clock only from the worker's messages; it
@@ -46,7 +46,7 @@
 
     @property
     def expires_at(self) -> float:
-        """Monotonic time in s at which all leases are sure to have ended."""
+        """Monotonic time in s by which all leases have certainly expired."""
         return self._expires_at
 
     def observe_clock(self, clock_ms: int, received_at: float) -> None:
@@ -67,8 +67,8 @@
     def next_lease_ms(self, now: float) -> int | None:
         """Returns the end of a lease that is granted now.
 
-        The end is a time on the worker's clock, in ms; None if that clock is
-        not known.
+        The end is a time on the worker's clock, in ms; None if no reading of
+        that clock was received.
         """
         if self._clock_ms is None:
             return None
--- a/laburnumsill/batch/ledger_view.py
+++ b/laburnumsill/batch/ledger_view.py
@@ -1,4 +1,4 @@
-"""Read-only interface of the ledger, for the checks of placements."""
+"""Read-only interface of the ledger, for the validation of placements."""
 
 import abc
 from collections import abc as collections_abc
@@ -8,7 +8,7 @@
 
 
 class LedgerView(abc.ABC):
-    """The jobs, workers and live runs that placements are checked against."""
+    """The jobs, workers and live runs that placements are validated against."""
 
     @property
     @abc.abstractmethod
--- a/laburnumsill/batch/orders.py
+++ b/laburnumsill/batch/orders.py
@@ -30,7 +30,7 @@
 wait 3 s for this one."""
 
 START_BACKOFF_S = 1.0
-"""Time without new runs for a worker that has refused a start."""
+"""Time for which a worker that has refused a start gets no new runs."""
 
 
 class Orders:
@@ -189,7 +189,7 @@
             state.worker, order, now + state.term.order_timeout.seconds
         )
         state.record_answer(answer.clock_ms, now)
-        state.started[run] = 0
+        state.missed_reports[run] = 0
         state.term.health.observe_start(run, state.term.clock.monotonic())
         logs.event(
             "run-started",
--- a/laburnumsill/batch/packing.py
+++ b/laburnumsill/batch/packing.py
@@ -87,8 +87,8 @@
         chosen = _largest_racks_first(unit, candidates, slots, available)
     if chosen is None:
         return []
-    found = _assign(unit, chosen, slots)
-    return found if len(found) == wanted else []
+    assignment = _assign(unit, chosen, slots)
+    return assignment if len(assignment) == wanted else []
 
 
 def _slots(
@@ -103,8 +103,8 @@
     for candidate in candidates:
         count = step.needs.copies_in(available(candidate))
         if step.max_per_worker:
-            known = count_runs(candidate.worker.worker_id, unit.tasks[0])
-            count = min(count, max(0, step.max_per_worker - known))
+            live = count_runs(candidate.worker.worker_id, unit.tasks[0])
+            count = min(count, max(0, step.max_per_worker - live))
         slots[candidate.worker.worker_id] = count
     return slots
 
@@ -203,10 +203,10 @@
         racks,
         key=lambda rack: -sum(slots[r.worker.worker_id] for r in racks[rack]),
     )
-    found: list[worker_capacity.Candidate] = []
+    ordered: list[worker_capacity.Candidate] = []
     for rack in order:
-        found += _fullest_first(unit, racks[rack], available)
-    return found
+        ordered += _fullest_first(unit, racks[rack], available)
+    return ordered
 
 
 def _order_for_tasks(
@@ -260,14 +260,14 @@
     slots: dict[str, int],
 ) -> Assignment:
     """Returns an assignment that fills candidates in their order."""
-    found: Assignment = []
+    assignment: Assignment = []
     waiting = iter(unit.tasks)
     left = len(unit.tasks)
     for candidate in candidates:
         count = min(slots[candidate.worker.worker_id], left)
         left -= count
-        found += [(next(waiting), candidate) for _ in range(count)]
-    return found
+        assignment += [(next(waiting), candidate) for _ in range(count)]
+    return assignment
 
 
 def mostly_free(
--- a/laburnumsill/batch/planner.py
+++ b/laburnumsill/batch/planner.py
@@ -41,8 +41,8 @@
 use reserved capacity after the same time."""
 
 ISOLATION_TIMEOUT_MS = 1_500
-"""How long a task that is suspected of crashing its worker waits for an idle
-worker, in ms; after that it goes to the worker with the fewest runs."""
+"""Time for which a task that is suspected of crashing its worker waits for an
+idle worker, in ms; after that it goes to the worker with the fewest runs."""
 
 MIN_SLACK_MS = 1_000
 """Single tasks leave headroom while their job has at least this slack, in ms:
@@ -191,15 +191,17 @@
         return self._urgent_demand[account] <= guarantee
 
     def _plan_unit(self, unit: units.Unit) -> None:
-        """Places what fits of a unit, else preempts or reserves for it."""
+        """Places the tasks that fit; preempts or reserves for the others."""
         candidates = self._eligible(unit)
-        found = [] if self._cannot_fit(unit) else self._fit(unit, candidates)
+        assignment = (
+            [] if self._cannot_fit(unit) else self._fit(unit, candidates)
+        )
         may_backfill = self._may_backfill() and self._may_share(unit)
-        if len(found) < len(unit.tasks) and may_backfill:
-            found = self._backfill(unit, candidates, found)
-        found = self._within_headroom(unit, found)
-        self._place_tasks(unit, found)
-        placed = {task for task, _ in found}
+        if len(assignment) < len(unit.tasks) and may_backfill:
+            assignment = self._backfill(unit, candidates, assignment)
+        assignment = self._within_headroom(unit, assignment)
+        self._place_tasks(unit, assignment)
+        placed = {task for task, _ in assignment}
         unit.tasks = [task for task in unit.tasks if task not in placed]
         if not unit.tasks:
             return
@@ -251,7 +253,7 @@
         self,
         unit: units.Unit,
         candidates: list[worker_capacity.Candidate],
-        found: packing.Assignment,
+        assignment: packing.Assignment,
     ) -> packing.Assignment:
         """Returns an assignment that may use reserved capacity.
 
@@ -265,28 +267,28 @@
         Args:
             unit: The tasks.
             candidates: The workers that may run them.
-            found: The assignment without reserved capacity.
+            assignment: The assignment without reserved capacity.
         """
         ends_before = self._ends_before_reservation(unit)
-        if not ends_before and (found or not self._is_starved(unit)):
-            return found
-        found = packing.fit(
+        if not ends_before and (assignment or not self._is_starved(unit)):
+            return assignment
+        assignment = packing.fit(
             unit, candidates, packing.free_or_reserved, self._count_runs
         )
-        return found if ends_before or unit.step.gang else found[:1]
+        return assignment if ends_before or unit.step.gang else assignment[:1]
 
     def _may_backfill(self) -> bool:
         return self._reservations > 0 and self._policy.tasks_in_kept_room
 
     def _is_starved(self, unit: units.Unit) -> bool:
-        """Returns whether a step has long had no run in a mostly free pool."""
+        """Returns whether a step waits without runs in a mostly free pool."""
         waited = self._input.now_ms - unit.waiting_since_ms
         if waited < SPREAD_AFTER_MS or unit.key in self._ledger.runs_by_step:
             return False
         return self._is_mostly_free(unit)
 
     def _within_headroom(
-        self, unit: units.Unit, found: packing.Assignment
+        self, unit: units.Unit, assignment: packing.Assignment
     ) -> packing.Assignment:
         """Returns the part of an assignment that leaves headroom.
 
@@ -296,16 +298,16 @@
         """
         step = unit.step
         if not self._leaves_headroom(unit):
-            return found
+            return assignment
         candidates = self._candidates_for(unit).all
         free = sum(candidate.free.accelerators for candidate in candidates)
         max_tasks = (
             max(0, free - self._input.headroom) // step.needs.accelerators
         )
         if step.gang:
-            return found if len(found) <= max_tasks else []
+            return assignment if len(assignment) <= max_tasks else []
         min_tasks = 0 if unit.key in self._ledger.runs_by_step else 1
-        return found[: max(min_tasks, max_tasks)]
+        return assignment[: max(min_tasks, max_tasks)]
 
     def _leaves_headroom(self, unit: units.Unit) -> bool:
         """Returns whether a unit has enough slack to leave headroom.
@@ -395,10 +397,12 @@
         ]
         return _without_very_slow(others) or others or pool.all
 
-    def _place_tasks(self, unit: units.Unit, found: packing.Assignment) -> None:
+    def _place_tasks(
+        self, unit: units.Unit, assignment: packing.Assignment
+    ) -> None:
         """Adds runs to the plan, as one group for a gang."""
         placements = []
-        for task, candidate in found:
+        for task, candidate in assignment:
             candidate.allocate(unit.step.needs)
             candidate.run_count += 1
             candidate.has_suspect |= unit.isolated_since_ms is not None
@@ -437,7 +441,7 @@
         if len(soon) == len(unit.tasks):
             self._allocate(unit, soon)
             return
-        eviction = preemption.evict(
+        chosen = preemption.find_preemption(
             unit,
             candidates,
             self._preemptible(),
@@ -445,14 +449,14 @@
             self._needs_fast_workers(unit, candidates),
             self._policy,
         )
-        if eviction is None:
+        if chosen is None:
             self._allocate(unit, soon)
             if unit.step.gang:
                 self._reserve_for(unit, candidates)
             return
-        for victim in eviction.victims:
+        for victim in chosen.victims:
             self._stop(victim, unit)
-        self._allocate(unit, eviction.assignment)
+        self._allocate(unit, chosen.assignment)
 
     def _needs_fast_workers(
         self,
@@ -532,9 +536,11 @@
         max_ms = BACKFILL_TIME_FACTOR * step_ms
         return self._input.now_ms + max_ms <= self._reservation_start_ms
 
-    def _allocate(self, unit: units.Unit, found: packing.Assignment) -> None:
+    def _allocate(
+        self, unit: units.Unit, assignment: packing.Assignment
+    ) -> None:
         """Subtracts the capacity of runs that are to be placed later."""
-        for _, candidate in found:
+        for _, candidate in assignment:
             candidate.allocate(unit.step.needs)
 
     def _count_runs(self, worker_id: str, task: model.TaskId) -> int:
--- a/laburnumsill/batch/preemption.py
+++ b/laburnumsill/batch/preemption.py
@@ -46,8 +46,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Eviction:
-    """Runs to stop, and the unit's assignment once they have ended."""
+class Preemption:
+    """Runs to stop, and the assignment of the unit after they have ended."""
 
     victims: tuple[Victim, ...]
     assignment: packing.Assignment
@@ -76,16 +76,16 @@
 
     def freed_on(self, worker_id: str) -> model.Resources:
         """Returns the resources that all victims together free on a worker."""
-        return self._all_freed.get(worker_id, _NOTHING)
+        return self._all_freed.get(worker_id, _NO_RESOURCES)
 
     def remove(self, victim: Victim) -> None:
-        """Removes a victim, as it is being stopped."""
+        """Removes a victim that is being stopped."""
         for worker_id, freed in victim.freed.items():
             self._on_worker[worker_id].remove(victim)
             self._all_freed[worker_id] -= freed
 
 
-_NOTHING = model.Resources()
+_NO_RESOURCES = model.Resources()
 
 
 def victims_below(
@@ -95,7 +95,7 @@
     now_ms: int,
 ) -> list[Victim]:
     """Returns the victims for a unit of a priority: runs of lower priority."""
-    found: list[Victim] = []
+    below: list[Victim] = []
     for key, runs in ledger.runs_by_step.items():
         job = ledger.jobs[key[0]].job
         if job.terms.priority <= priority:
@@ -103,21 +103,21 @@
         step = job.steps[key[2]]
         left = [run for run in runs.values() if run.run not in stopping]
         if not step.gang:
-            found += [_make_victim(step, (run,), now_ms) for run in left]
+            below += [_make_victim(step, (run,), now_ms) for run in left]
         elif left:
-            found.append(_make_victim(step, left, now_ms))
-    return found
+            below.append(_make_victim(step, left, now_ms))
+    return below
 
 
-def evict(
+def find_preemption(
     unit: units.Unit,
     candidates: abc.Sequence[worker_capacity.Candidate],
     victims: Victims,
     count_runs: packing.CountRuns,
     fast_first: bool,
     policy: policies.Policy = policies.ALL,
-) -> Eviction | None:
-    """Returns the cheapest eviction found for a unit, or None.
+) -> Preemption | None:
+    """Returns the cheapest preemption found for a unit, or None.
 
     Args:
         unit: An urgent unit that fits neither now nor soon.
@@ -134,24 +134,27 @@
     preferences = [fast, candidates] if fast_first else [candidates]
     for preferred in preferences:
         racks = worker_capacity.by_rack(preferred)
-        evictions = [
-            _evict_from(unit, inside, victims, count_runs, policy)
+        preemptions = [
+            _preemption_on(unit, inside, victims, count_runs, policy)
             for inside in racks.values()
         ]
-        found = [choice for choice in evictions if choice is not None]
-        if found:
-            return min(found, key=lambda one: sum(v.cost for v in one.victims))
-    return _evict_from(unit, candidates, victims, count_runs, policy)
+        sufficient = [choice for choice in preemptions if choice is not None]
+        if sufficient:
+            return min(
+                sufficient,
+                key=lambda choice: sum(v.cost for v in choice.victims),
+            )
+    return _preemption_on(unit, candidates, victims, count_runs, policy)
 
 
-def _evict_from(
+def _preemption_on(
     unit: units.Unit,
     candidates: abc.Sequence[worker_capacity.Candidate],
     victims: Victims,
     count_runs: packing.CountRuns,
     policy: policies.Policy,
-) -> Eviction | None:
-    """Returns the eviction that frees slots on some workers, or None."""
+) -> Preemption | None:
+    """Returns the preemption that frees slots on some workers, or None."""
     selection = _VictimSelection(
         unit.step.needs, candidates, victims, policy.cheapest_slot
     )
@@ -162,7 +165,7 @@
     assignment = packing.fit(unit, candidates, selection.available, count_runs)
     if len(assignment) < len(unit.tasks):
         return None  # the step's limit per worker leaves too few slots
-    return Eviction(tuple(selection.chosen), assignment)
+    return Preemption(tuple(selection.chosen), assignment)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -216,7 +219,7 @@
     def available(
         self, candidate: worker_capacity.Candidate
     ) -> model.Resources:
-        """Returns what is free on a worker once the chosen have ended."""
+        """Returns a worker's free capacity after the chosen victims end."""
         return self._soon_free[candidate.worker.worker_id]
 
     def make_slots(self, wanted: int) -> bool:
@@ -249,7 +252,7 @@
         A victim was chosen for one slot, which a gang that was chosen later
         may free as well. The most expensive victims are tried first.
         """
-        for victim in sorted(self.chosen, key=lambda one: -one.cost):
+        for victim in sorted(self.chosen, key=lambda victim: -victim.cost):
             self._apply(victim, -1)
             if self._slots >= wanted:
                 self.chosen.remove(victim)
--- a/laburnumsill/batch/run_timer.py
+++ b/laburnumsill/batch/run_timer.py
@@ -7,7 +7,7 @@
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import model
 
-MAX_UNFINISHED = 4_096
+MAX_TRACKED_RUNS = 4_096
 """Number of tracked runs above which those that are not live are dropped."""
 
 RunFilter = abc.Callable[[model.Step, commands.Group], bool]
@@ -63,7 +63,7 @@
                 if run in self._ledger.runs and self._is_selected(run, group):
                     placed = (placement.worker_id, command.at_ms)
                     self._placed[run] = placed
-        if len(self._placed) > MAX_UNFINISHED:
+        if len(self._placed) > MAX_TRACKED_RUNS:
             live = self._ledger.runs
             self._placed = {
                 run: placed
--- a/laburnumsill/batch/session.py
+++ b/laburnumsill/batch/session.py
@@ -362,9 +362,9 @@
             commands.NoteEnds(self._state.worker_id, ends, at_ms)
         )
         for job_id in affected:
-            self._term.log_end(job_id)
+            self._term.log_job_end(job_id)
         for end in ends:
-            self._state.started.pop(end.run, None)
+            self._state.missed_reports.pop(end.run, None)
             self._state.ordered.discard(end.run)
             self._observe_end(end)
         self._term.request_plan()
@@ -415,7 +415,7 @@
                     continue
                 if acknowledged <= sent_at:
                     releases.append(self._state.release(run, "it never began"))
-            elif run not in self._state.started:
+            elif run not in self._state.missed_reports:
                 self._orders.start(run)  # placed by an earlier leader
             elif is_complete:
                 self._record_missing(run)
@@ -430,17 +430,17 @@
         if (
             record is not None
             and not record.seen
-            and run not in self._state.started
+            and run not in self._state.missed_reports
         ):
             logs.event("run-seen", run=run, worker=self._state.worker_id)
         if record is not None and not record.seen:
             self._term.record_seen(run)
-        self._state.started[run] = 0
+        self._state.missed_reports[run] = 0
 
     def _record_missing(self, run: model.RunId) -> None:
         """Counts a report without a started run; stops it at the limit."""
-        self._state.started[run] += 1
-        if self._state.started[run] >= MAX_MISSED_REPORTS:
+        self._state.missed_reports[run] += 1
+        if self._state.missed_reports[run] >= MAX_MISSED_REPORTS:
             self._orders.stop(run, "its worker does not list it")
 
     async def _release_all(self, reason: str) -> None:
--- a/laburnumsill/batch/term.py
+++ b/laburnumsill/batch/term.py
@@ -71,7 +71,7 @@
         be cut off.
         """
 
-    def log_end(self, job_id: str) -> None:
+    def log_job_end(self, job_id: str) -> None:
         """Logs the end of a job with the data to evaluate its response time.
 
         A job that is unknown or active is not logged.
--- a/laburnumsill/batch/tests/planned_site.py
+++ b/laburnumsill/batch/tests/planned_site.py
@@ -35,7 +35,7 @@
     return ledger
 
 
-def view(ledger, stopping=(), now_ms=0, guarantees=None):
+def planner_input(ledger, stopping=(), now_ms=0, guarantees=None):
     """Returns a planner input with all workers usable."""
     return planner.PlannerInput(
         ledger,
--- a/laburnumsill/batch/tests/test_crashes.py
+++ b/laburnumsill/batch/tests/test_crashes.py
@@ -186,7 +186,7 @@
 
 
 def plan(ledger, now_ms=0):
-    return planner.plan(planned_site.view(ledger, now_ms=now_ms))
+    return planner.plan(planned_site.planner_input(ledger, now_ms=now_ms))
 
 
 def test_a_suspect_gets_an_empty_worker_and_other_tasks_avoid_it():
--- a/laburnumsill/batch/tests/test_planner.py
+++ b/laburnumsill/batch/tests/test_planner.py
@@ -15,7 +15,7 @@
     planned_site.submit(
         ledger, planned_site.job("g", 2, 8, gang=True, same_rack=True)
     )
-    made = planner.plan(planned_site.view(ledger))
+    made = planner.plan(planned_site.planner_input(ledger))
     (group,) = made.groups
     racks = {ledger.workers[p.worker_id].rack for p in group}
     assert len(group) == 2 and len(racks) == 1
@@ -25,11 +25,13 @@
 def test_gang_that_does_not_fit_is_not_placed_in_part():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("x", 1, 1, priority=1))
-    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(
+        ledger, planner.plan(planned_site.planner_input(ledger))
+    )
     planned_site.submit(
         ledger, planned_site.job("g", 2, 8, priority=1, gang=True)
     )
-    made = planner.plan(planned_site.view(ledger))
+    made = planner.plan(planned_site.planner_input(ledger))
     assert made.groups == []
     assert made.stops == []
     assert [unit.record.job.job_id for unit in made.waiting] == ["g"]
@@ -38,9 +40,11 @@
 def test_small_tasks_fill_partly_used_workers_first():
     ledger = planned_site.site()
     planned_site.submit(ledger, planned_site.job("x", 1, 2, priority=1))
-    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(
+        ledger, planner.plan(planned_site.planner_input(ledger))
+    )
     planned_site.submit(ledger, planned_site.job("y", 3, 2, priority=1))
-    made = planner.plan(planned_site.view(ledger))
+    made = planner.plan(planned_site.planner_input(ledger))
     planned_site.apply_plan(ledger, made)
     assert len({run.worker_id for run in ledger.runs.values()}) == 1
 
@@ -51,22 +55,26 @@
         ledger, planned_site.job("saves", 1, 8, priority=1, saves_progress=True)
     )
     planned_site.submit(ledger, planned_site.job("loses", 1, 8, priority=1))
-    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(
+        ledger, planner.plan(planned_site.planner_input(ledger))
+    )
     planned_site.submit(
         ledger,
         planned_site.job("u", 1, 8, gang=True),
         planned_site.job("late", 1, 8, priority=1),
     )
-    made = planner.plan(planned_site.view(ledger, now_ms=9000))
+    made = planner.plan(planned_site.planner_input(ledger, now_ms=9000))
     assert [run.task.job_id for run in made.stops] == ["saves"]
     assert made.groups == []
-    again = planner.plan(planned_site.view(ledger, made.stops, now_ms=9100))
+    again = planner.plan(
+        planned_site.planner_input(ledger, made.stops, now_ms=9100)
+    )
     assert again.stops == []
     (run,) = made.stops
     worker_id = ledger.runs[run].worker_id
     end = commands.EndedRun(1, run, commands.EndKind.STOPPED, "half")
     ledger.note_ends(commands.NoteEnds(worker_id, (end,), 9500))
-    last = planner.plan(planned_site.view(ledger, now_ms=9500))
+    last = planner.plan(planned_site.planner_input(ledger, now_ms=9500))
     ((placement,),) = last.groups
     assert placement.run.task.job_id == "u"
     assert placement.worker_id == worker_id
@@ -75,9 +83,11 @@
 def test_runs_of_equal_priority_are_never_preempted():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("a", 2, 8))
-    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(
+        ledger, planner.plan(planned_site.planner_input(ledger))
+    )
     planned_site.submit(ledger, planned_site.job("b", 1, 8))
-    assert planner.plan(planned_site.view(ledger)).stops == []
+    assert planner.plan(planned_site.planner_input(ledger)).stops == []
 
 
 def test_job_within_guarantee_goes_before_job_beyond_it():
@@ -87,7 +97,9 @@
     )
     planned_site.submit(ledger, planned_site.job("own", 1, 8, account="modest"))
     made = planner.plan(
-        planned_site.view(ledger, guarantees={"greedy": 8, "modest": 8})
+        planned_site.planner_input(
+            ledger, guarantees={"greedy": 8, "modest": 8}
+        )
     )
     assert [group[0].run.task.job_id for group in made.groups] == ["own"]
 
@@ -95,15 +107,17 @@
 def test_long_waiting_gang_reserves_a_rack():
     ledger = planned_site.site(racks=1)
     planned_site.submit(ledger, planned_site.job("x", 1, 8, priority=1))
-    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(
+        ledger, planner.plan(planned_site.planner_input(ledger))
+    )
     planned_site.submit(
         ledger, planned_site.job("g", 2, 8, priority=1, gang=True)
     )
     planned_site.submit(ledger, planned_site.job("small", 1, 1, priority=2))
-    early = planner.plan(planned_site.view(ledger, now_ms=100))
+    early = planner.plan(planned_site.planner_input(ledger, now_ms=100))
     assert [g[0].run.task.job_id for g in early.groups] == ["small"]
     late = planner.plan(
-        planned_site.view(ledger, now_ms=planner.RESERVE_AFTER_MS)
+        planned_site.planner_input(ledger, now_ms=planner.RESERVE_AFTER_MS)
     )
     assert late.groups == []
 
@@ -114,13 +128,13 @@
     steps = (model.Step(1, needs), model.Step(2, needs, depends_on=(0,)))
     terms = model.QueueTerms("pool", 1, 3)
     planned_site.submit(ledger, model.Job("j", "q", "a", "", steps, terms))
-    made = planner.plan(planned_site.view(ledger))
+    made = planner.plan(planned_site.planner_input(ledger))
     assert [g[0].run.task.step for g in made.groups] == [0]
     planned_site.apply_plan(ledger, made)
     ((placement,),) = made.groups
     end = commands.EndedRun(1, placement.run, commands.EndKind.DONE)
     ledger.note_ends(commands.NoteEnds(placement.worker_id, (end,), 5))
-    made = planner.plan(planned_site.view(ledger))
+    made = planner.plan(planned_site.planner_input(ledger))
     assert [g[0].run.task.step for g in made.groups] == [1, 1]
 
 
@@ -132,8 +146,11 @@
         "j", "q", "a", "", (model.Step(1, needs),), terms, 3, 1000, 500
     )
     planned_site.submit(ledger, timed)
-    assert planner.plan(planned_site.view(ledger, now_ms=999)).groups == []
-    made = planner.plan(planned_site.view(ledger, now_ms=1500))
+    assert (
+        planner.plan(planned_site.planner_input(ledger, now_ms=999)).groups
+        == []
+    )
+    made = planner.plan(planned_site.planner_input(ledger, now_ms=1500))
     assert [g[0].run.task.occurrence for g in made.groups] == [0, 1]
 
 
@@ -144,9 +161,12 @@
         planned_site.occupy(ledger, f"w{rack}1", f"y{rack}", 1)
     gang = planned_site.job("g", 3, 8, priority=1, gang=True, same_rack=True)
     planned_site.submit(ledger, gang)
-    assert planner.plan(planned_site.view(ledger, now_ms=100)).groups == []
+    assert (
+        planner.plan(planned_site.planner_input(ledger, now_ms=100)).groups
+        == []
+    )
     waited = planner.plan(
-        planned_site.view(ledger, now_ms=planner.SPREAD_AFTER_MS)
+        planned_site.planner_input(ledger, now_ms=planner.SPREAD_AFTER_MS)
     )
     (group,) = waited.groups
     assert len(group) == 3
@@ -162,7 +182,7 @@
     )
     planned_site.submit(ledger, planned_site.job("s", 1, 1, priority=2))
     made = planner.plan(
-        planned_site.view(ledger, now_ms=planner.RESERVE_AFTER_MS)
+        planned_site.planner_input(ledger, now_ms=planner.RESERVE_AFTER_MS)
     )
     assert made.groups == []  # the only empty worker is reserved for the gang
 
@@ -173,7 +193,7 @@
         for number in range(4):
             planned_site.occupy(ledger, worker_id, f"{worker_id}-{number}", 2)
     planned_site.submit(ledger, planned_site.job("u", 1, 4))
-    made = planner.plan(planned_site.view(ledger, now_ms=1000))
+    made = planner.plan(planned_site.planner_input(ledger, now_ms=1000))
     assert len(made.stops) == 2
     assert len({ledger.runs[run].worker_id for run in made.stops}) == 1
 
@@ -181,7 +201,7 @@
 def test_urgent_tasks_go_to_fast_workers():
     ledger = planned_site.site(racks=1, per_rack=4)
     planned_site.submit(ledger, planned_site.job("u", 2, 8, gang=True))
-    seen = planned_site.view(ledger)
+    seen = planned_site.planner_input(ledger)
     slow = {"w00": 1.3, "w01": 1.3}
     seen = planner.PlannerInput(
         ledger,
@@ -243,7 +263,7 @@
 
 def with_headroom(ledger, headroom, now_ms=0):
     return dataclasses.replace(
-        planned_site.view(ledger, now_ms=now_ms), headroom=headroom
+        planned_site.planner_input(ledger, now_ms=now_ms), headroom=headroom
     )
 
 
@@ -321,13 +341,15 @@
     planned_site.submit(
         ledger, planned_site.job("small", 6, 1, priority=2, max_per_worker=1)
     )
-    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
+    planned_site.apply_plan(
+        ledger, planner.plan(planned_site.planner_input(ledger))
+    )
     planned_site.submit(
         ledger, planned_site.job("wide", 4, 8, priority=1, gang=True)
     )
     planned_site.submit(ledger, planned_site.job("more", 48, 1, priority=2))
     made = planner.plan(
-        planned_site.view(ledger, now_ms=planner.RESERVE_AFTER_MS)
+        planned_site.planner_input(ledger, now_ms=planner.RESERVE_AFTER_MS)
     )
     workers_used = {p.worker_id for group in made.groups for p in group}
     assert len(ledger.workers) - len(workers_used) >= 4
@@ -344,9 +366,13 @@
 
     ledger = planned_site.site()
     planned_site.submit(ledger, planned_site.job("x", 4, 2, priority=2))
-    planned_site.apply_plan(ledger, planner.plan(planned_site.view(ledger)))
-    view = dataclasses.replace(planned_site.view(ledger), slowness=slowness)
-    made = planner.plan(view)
+    planned_site.apply_plan(
+        ledger, planner.plan(planned_site.planner_input(ledger))
+    )
+    planner_input = dataclasses.replace(
+        planned_site.planner_input(ledger), slowness=slowness
+    )
+    made = planner.plan(planner_input)
     assert (made.groups, made.stops, made.waiting) == ([], [], [])
 
 
@@ -356,5 +382,5 @@
         planned_site.occupy(ledger, worker_id, f"x{worker_id}", 8)
     stopping = {run for run in ledger.runs if "w00" in run.task.job_id}
     planned_site.submit(ledger, planned_site.job("u", 1, 8, gang=True))
-    made = planner.plan(planned_site.view(ledger, stopping=stopping))
+    made = planner.plan(planned_site.planner_input(ledger, stopping=stopping))
     assert made.groups == [] and made.stops == []
--- a/laburnumsill/batch/tests/test_shrunk_workers.py
+++ b/laburnumsill/batch/tests/test_shrunk_workers.py
@@ -181,4 +181,4 @@
     step = model.Step(1, model.Resources(1000, 64, 0), 1000)
     terms = model.QueueTerms("pool", 1, 3)
     planned_site.submit(ledger, model.Job("j", "q", "a", "", (step,), terms))
-    assert not planner.plan(planned_site.view(ledger)).groups
+    assert not planner.plan(planned_site.planner_input(ledger)).groups
--- a/laburnumsill/batch/tests/test_waiting_gangs.py
+++ b/laburnumsill/batch/tests/test_waiting_gangs.py
@@ -32,8 +32,8 @@
 
 def late_plan(ledger, **changes):
     """Returns a plan at a time when gangs waited long enough to reserve."""
-    view = planned_site.view(ledger, now_ms=LATE_MS)
-    return planner.plan(dataclasses.replace(view, **changes))
+    planner_input = planned_site.planner_input(ledger, now_ms=LATE_MS)
+    return planner.plan(dataclasses.replace(planner_input, **changes))
 
 
 def end_runs(ledger, runs):
@@ -152,7 +152,7 @@
             ledger, f"w{rack}0", f"lasts{rack}", 8, long_running=True
         )
     planned_site.submit(ledger, gang("g", 3, same_rack=True))
-    ((*placed,),) = planner.plan(planned_site.view(ledger)).groups
+    ((*placed,),) = planner.plan(planned_site.planner_input(ledger)).groups
     assert len(placed) == 3
 
 
@@ -270,8 +270,8 @@
 
 def test_overdue_run_is_expected_to_take_half_its_time_more():
     ledger = reservation_behind_long_runs(2_900)
-    view = planned_site.view(ledger, now_ms=18_000)
-    assert len(planner.plan(view).groups) == 8
+    planner_input = planned_site.planner_input(ledger, now_ms=18_000)
+    assert len(planner.plan(planner_input).groups) == 8
     ledger = reservation_behind_long_runs(3_100)
-    view = planned_site.view(ledger, now_ms=18_000)
-    assert planner.plan(view).groups == []
+    planner_input = planned_site.planner_input(ledger, now_ms=18_000)
+    assert planner.plan(planner_input).groups == []
--- a/laburnumsill/batch/units.py
+++ b/laburnumsill/batch/units.py
@@ -11,7 +11,7 @@
 from laburnumsill.batch import model
 from laburnumsill.batch import records
 
-WAVES_IN_A_POOL = 4
+WAVES_PER_POOL = 4
 """Waves that fill a pool: a wave is a quarter of the tasks that a pool can run
 at a time, as in the users' rules on credit."""
 
@@ -62,7 +62,7 @@
         """Returns the id of a task's next run; a gang's runs share a number."""
         step = self.record.steps[self.occurrence][self.step_index]
         if self.step.gang:
-            last = max(one.last_run for one in step.tasks)
+            last = max(state.last_run for state in step.tasks)
         else:
             last = step.tasks[task.index].last_run
         return model.RunId(task, last + 1)
@@ -81,13 +81,13 @@
     ledger: ledgers.BatchLedger, now_ms: int, step_ms: StepMs = declared_ms
 ) -> list[Unit]:
     """Returns all units whose tasks could run now, unsorted."""
-    found: list[Unit] = []
+    ready: list[Unit] = []
     for record in ledger.active_jobs.values():
         for occurrence in range(len(record.steps)):
             if record.job.due_ms(occurrence) > now_ms:
                 continue
-            found += _units_of(ledger, record, occurrence, step_ms)
-    return found
+            ready += _units_of(ledger, record, occurrence, step_ms)
+    return ready
 
 
 def next_due_ms(ledger: ledgers.BatchLedger, now_ms: int) -> int | None:
@@ -129,7 +129,7 @@
     """
     step = job.steps[number]
     slots = ledger.slots_in(job.terms.pool, step.needs)
-    return math.ceil(step.tasks / max(1, slots // WAVES_IN_A_POOL))
+    return math.ceil(step.tasks / max(1, slots // WAVES_PER_POOL))
 
 
 def _units_of(
@@ -190,11 +190,11 @@
     others = [task for task in tasks if task not in suspects]
     if others:
         yield others, None
-    if not _runs_any(ledger, worst.step_key, suspects):
+    if not _has_live_run(ledger, worst.step_key, suspects):
         yield [worst], blames[worst].at_ms
 
 
-def _runs_any(
+def _has_live_run(
     ledger: ledgers.BatchLedger,
     key: model.StepKey,
     tasks: abc.Set[model.TaskId],
--- a/laburnumsill/batch/worker_speeds.py
+++ b/laburnumsill/batch/worker_speeds.py
@@ -138,9 +138,11 @@
                 yield max(-MAX_EFFECT, min(MAX_EFFECT, residual))
 
     def _fit_baseline(self) -> None:
-        known = sorted(self._effects.values())
-        if known:
-            self._baseline_effect = known[int(len(known) * BASELINE_QUANTILE)]
+        effects = sorted(self._effects.values())
+        if effects:
+            self._baseline_effect = effects[
+                int(len(effects) * BASELINE_QUANTILE)
+            ]
 
 
 def _is_comparable(step: model.Step, _: commands.Group) -> bool:
--- a/laburnumsill/batch/worker_state.py
+++ b/laburnumsill/batch/worker_state.py
@@ -50,8 +50,8 @@
         term: The leader's term.
         leases: The worker's clock and the expiry of its leases.
         running: Runs in the worker's last report, by id.
-        started: Number of consecutive reports that lacked a run, for each run
-            that the worker has confirmed to have started.
+        missed_reports: Number of consecutive reports that did not list a run,
+            for each run that the worker has confirmed to have started.
         starting: Runs whose start orders are in progress.
         ordered: Runs for which a start order was sent to this worker, or may
             have been sent by an earlier leader.
@@ -75,7 +75,7 @@
         self.term = term
         self.leases = lease_module.LeaseTracker(term.longest_lease_ms, now)
         self.running: dict[model.RunId, worker_client.RunningRun] = {}
-        self.started: dict[model.RunId, int] = {}
+        self.missed_reports: dict[model.RunId, int] = {}
         self.starting: set[model.RunId] = set()
         self.ordered = set(term.ledger.runs_on(worker.worker_id))
         self.stops: dict[model.RunId, StopOrder] = {}
@@ -193,9 +193,9 @@
     ) -> None:
         """Handles the answer of another incarnation of the worker.
 
-        The successor may have received this one's orders. Until it has
-        announced itself, the state of the runs is unknown and the worker only
-        counts as unreachable.
+        The successor may have received the orders to this incarnation. Until
+        it has announced itself, the state of the runs is unknown and the
+        worker only counts as unreachable.
         """
         successors = [
             other.worker_id
@@ -241,7 +241,7 @@
         for run in lost:
             self._log_lost(run)
         for job_id in sorted(affected):
-            self.term.log_end(job_id)
+            self.term.log_job_end(job_id)
         self.term.request_plan()
 
     def _log_lost(self, run: model.RunId) -> None:
@@ -265,17 +265,17 @@
         """Releases runs that are certain not to run now or later."""
         if not releases:
             return
-        for one in releases:
+        for release in releases:
             logs.event(
                 "run-released",
-                job=one.run.task.job_id,
-                run=one.run,
+                job=release.run.task.job_id,
+                run=release.run,
                 worker=self.worker_id,
-                reason=one.reason,
+                reason=release.reason,
             )
-            self.started.pop(one.run, None)
-            self.ordered.discard(one.run)
-            self.term.health.forget_run(one.run)
+            self.missed_reports.pop(release.run, None)
+            self.ordered.discard(release.run)
+            self.term.health.forget_run(release.run)
         at_ms = self.term.clock.wall_ms()
         await self.term.commit(commands.ReleaseRuns(tuple(releases), at_ms))
         self.term.request_plan()
