--- a/bench/batch_plan_time.py
+++ b/bench/batch_plan_time.py
@@ -74,13 +74,13 @@
 
 def plan_ms(ledger: ledgers.BatchLedger) -> list[float]:
     """Returns the times of some plans of the same state."""
-    view = planner.PlannerInput(
+    planner_input = planner.PlannerInput(
         ledger, set(ledger.workers), frozenset(), {}, NOW_MS + 100
     )
     times = []
     for _ in range(PLANS):
         began = time.perf_counter()
-        planner.plan(view)
+        planner.plan(planner_input)
         times.append(1000 * (time.perf_counter() - began))
     return times
 
--- a/laburnumsill/batch/planner.py
+++ b/laburnumsill/batch/planner.py
@@ -258,9 +258,9 @@
         """Returns an assignment that may use reserved capacity.
 
         Tasks that will end before the reserved gang starts may use it. So may
-        a step without runs although most of its pool is free. Of such a step
-        one task is placed, so that its job makes progress; this delays the
-        gang little, as the task goes to the worker with the least free
+        a step that waits without runs while most of its pool is free. Of such
+        a step one task is placed, so that its job makes progress; this delays
+        the gang little, as the task goes to the worker with the least free
         capacity. Another gang is placed as a whole, but does not spread over
         racks for this: it would be slow and occupy the capacity for long.
 
--- a/laburnumsill/batch/session.py
+++ b/laburnumsill/batch/session.py
@@ -32,7 +32,6 @@
 """Long-poll timeout of a report while it is unknown whether a run that is being
 stopped ever started."""
 
-
 RESEND_STOP_AFTER_S = 2.0
 """Time after an acknowledged stop at which a run that is still listed gets
 another stop order; the users' workers need 1 s at most."""
--- a/laburnumsill/batch/tests/test_last_leader.py
+++ b/laburnumsill/batch/tests/test_last_leader.py
@@ -10,7 +10,7 @@
         now += step
 
 
-def test_a_vm_that_never_saw_a_leader_has_no_time_of_one():
+def test_without_any_leader_the_last_known_time_is_minus_infinity():
     last = last_leader.LastKnownLeader()
     observe_repeatedly(last, None, 10.0, 12.0)
     assert last.known_at == -math.inf
--- a/laburnumsill/batch/tests/test_worker_health.py
+++ b/laburnumsill/batch/tests/test_worker_health.py
@@ -92,10 +92,10 @@
         done = end(run_id, commands.EndKind.DONE)
         health.observe_end(worker, done, STEP, took)
     now = 2.0
-    lately = health.recent_slowness
-    assert lately("slow", now) >= worker_speeds.SLOW_RATIO
-    assert lately("w4", now) < worker_speeds.SLOW_RATIO
-    assert lately("unknown", now) == 1.0
+    slowness = health.recent_slowness
+    assert slowness("slow", now) >= worker_speeds.SLOW_RATIO
+    assert slowness("w4", now) < worker_speeds.SLOW_RATIO
+    assert slowness("unknown", now) == 1.0
 
 
 def test_gang_runs_do_not_count_for_worker_speed():
--- a/laburnumsill/batch/tests/test_worker_incarnations.py
+++ b/laburnumsill/batch/tests/test_worker_incarnations.py
@@ -250,7 +250,7 @@
         assert one.jobs["j"].state is not caller_commands.JobState.FAILED
 
 
-def test_a_worker_of_an_unnamed_pool_is_not_called():
+def test_a_worker_of_an_unconfigured_pool_is_not_called():
     """The address of such a worker may belong to anything else."""
     called = set()
 
