--- a/laburnumsill/batch/contested_workers.py
+++ b/laburnumsill/batch/contested_workers.py
@@ -5,7 +5,7 @@
 from laburnumsill.batch import model
 
 
-def contested(
+def contested_ids(
     workers: abc.Collection[model.Worker], configured_pools: abc.Set[str]
 ) -> set[str]:
     """Returns the ids of workers whose address or name another worker claims.
@@ -16,16 +16,16 @@
     contested, since anyone may have announced it.
 
     Args:
-        workers: All known workers.
+        workers: All workers in the ledger.
         configured_pools: The pools in the configuration.
 
     Examples:
         >>> old = model.Worker("old", "p", "a:1", "d", model.Resources())
         >>> new = model.Worker("new", "p", "a:1", "d", model.Resources())
         >>> stray = model.Worker("stray", "q", "a:1", "d", model.Resources())
-        >>> sorted(contested([old, new], {"p"}))
+        >>> sorted(contested_ids([old, new], {"p"}))
         ['new', 'old']
-        >>> contested([old, stray], {"p"}), contested([old], {"p"})
+        >>> contested_ids([old, stray], {"p"}), contested_ids([old], {"p"})
         ({'stray'}, set())
     """
     addresses = {worker.address for worker in workers}
--- a/laburnumsill/batch/outlook.py
+++ b/laburnumsill/batch/estimates.py
@@ -6,8 +6,8 @@
 from collections import abc
 
 from laburnumsill.batch import headroom
-from laburnumsill.batch import learnt as learnt_module
 from laburnumsill.batch import ledger as ledgers
+from laburnumsill.batch import ledger_estimates
 from laburnumsill.batch import model
 from laburnumsill.batch import policy as policies
 from laburnumsill.batch import units
@@ -15,13 +15,13 @@
 from laburnumsill.core import clock as clocks
 
 
-class Outlook:
+class Estimates:
     """Estimates from the ledger's history and the leader's observations.
 
     Args:
         policy: The mechanisms in use.
         ledger: The ledger on which plans are based.
-        learnt: Run times and speeds learnt from the ledger's commands.
+        history: Run times and speeds estimated from the ledger's commands.
         health: The leader's observations of workers.
         clock: The clock of this process.
 
@@ -33,16 +33,16 @@
         self,
         policy: policies.Policy,
         ledger: ledgers.BatchLedger,
-        learnt: learnt_module.Learnt,
+        history: ledger_estimates.LedgerEstimates,
         health: worker_health.WorkerHealth,
         clock: clocks.Clock,
     ) -> None:
         self.step_ms: units.StepMs = units.declared_ms
         if policy.learnt_times:
-            self.step_ms = learnt.times.expected_ms
+            self.step_ms = history.times.expected_ms
         self._policy = policy
         self._ledger = ledger
-        self._learnt = learnt
+        self._history = history
         self._health = health
         self._clock = clock
         self._headroom = headroom.Headroom()
@@ -54,17 +54,17 @@
         demand = headroom.urgent_demand(self._ledger).total()
         return self._headroom.update(demand, self._clock.monotonic())
 
-    def avoid(self, task: model.TaskId) -> abc.Set[str]:
+    def avoided_workers(self, task: model.TaskId) -> abc.Set[str]:
         """Returns the workers on which a task should not run again."""
         if not self._policy.avoiding:
             return frozenset()
-        return self._health.avoid(task)
+        return self._health.avoided_workers(task)
 
-    def set_aside(self, worker_id: str, now: float) -> bool:
+    def is_quarantined(self, worker_id: str, now: float) -> bool:
         """Returns whether a worker is in quarantine and gets no new runs."""
         if not self._policy.setting_aside:
             return False
-        return self._health.set_aside(worker_id, now)
+        return self._health.is_quarantined(worker_id, now)
 
     def slowness(self, worker_id: str) -> float:
         """Returns the run time on a worker relative to other workers.
@@ -73,10 +73,13 @@
         the long-term ones.
         """
         now = self._clock.monotonic()
-        recent = self._health.slowness_lately(worker_id, now)
-        if recent >= worker_health.VERY_SLOW and self._policy.very_slow_last:
+        recent = self._health.recent_slowness(worker_id, now)
+        if (
+            recent >= worker_health.VERY_SLOW_RATIO
+            and self._policy.very_slow_last
+        ):
             return recent
         if not self._policy.learnt_speeds:
             return 1.0
-        long_term = self._learnt.speeds.slowness(worker_id)
-        return min(long_term, worker_health.NOT_VERY_SLOW)
+        long_term = self._history.speeds.slowness(worker_id)
+        return min(long_term, worker_health.MAX_SLOW_RATIO)
--- a/laburnumsill/batch/leading.py
+++ b/laburnumsill/batch/leading.py
@@ -1,9 +1,9 @@
 """Scheduling on the leader: worker sessions, planning and housekeeping.
 
 Each worker has one session. Changes of the ledger or of a worker's state
-trigger a new plan. Housekeeping removes silent workers and jobs that ended long
-ago. When leadership is lost, everything is cancelled; the next leader finds in
-the ledger which runs may exist.
+trigger a new plan. Housekeeping removes silent workers and the expired records
+of ended jobs. When leadership is lost, everything is cancelled; the next leader
+finds in the ledger which runs may exist.
 """
 
 import dataclasses
@@ -14,11 +14,11 @@
 
 from laburnumsill.batch import commands
 from laburnumsill.batch import contested_workers
-from laburnumsill.batch import learnt as learnt_module
+from laburnumsill.batch import estimates
 from laburnumsill.batch import ledger as ledgers
+from laburnumsill.batch import ledger_estimates
 from laburnumsill.batch import model
 from laburnumsill.batch import orders
-from laburnumsill.batch import outlook
 from laburnumsill.batch import plan_log
 from laburnumsill.batch import planner
 from laburnumsill.batch import policy as policies
@@ -44,7 +44,7 @@
 COMMIT_TIMEOUT_S = 2.0
 """Timeout of a commit. A leader whose commit times out ends its term."""
 
-PLANNING_SHARE = 0.25
+MAX_PLANNING_SHARE = 0.25
 """Largest share of the event loop's time for planning. A pause after each plan
 lets events accumulate. A plan takes about a millisecond; with 176 workers and a
 plan for each event, planning starved commits and reports."""
@@ -65,13 +65,14 @@
 """Silence after which a worker is removed, once its leases have expired."""
 
 ENDED_JOB_RETENTION_S = 300.0
-"""Time for which ended jobs are kept; the users require at least 120 s."""
+"""Time for which records of ended jobs are kept; the users require at least
+120 s."""
 
 URGENT_STOP_REASON = "an urgent job needs the room"
 """Logged reason of the stops that a plan demands."""
 
 RETENTION_CHECK_INTERVAL_S = 30
-"""Interval at which expired jobs are removed."""
+"""Interval of the deletion of expired records of jobs, in s."""
 
 
 class LeadLostError(errors.UnavailableError):
@@ -82,7 +83,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WorkerBounds:
+class WorkerLimits:
     """Time limits that workers guarantee.
 
     Attributes:
@@ -95,7 +96,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Context:
+class SchedulerContext:
     """Dependencies of a scheduler, on every VM.
 
     Attributes:
@@ -105,7 +106,7 @@
         guarantees: Returns the guaranteed accelerators by client account.
         clock: The clock of this process.
         metrics: Receives the gauges.
-        bounds: Time limits that workers guarantee.
+        worker_limits: Time limits that workers guarantee.
         pools: Returns the configured pools.
         policy: The mechanisms in use.
     """
@@ -116,7 +117,7 @@
     guarantees: abc.Callable[[], abc.Mapping[str, int]]
     clock: clocks.Clock
     metrics: metrics_module.Metrics
-    bounds: WorkerBounds
+    worker_limits: WorkerLimits
     pools: abc.Callable[[], abc.Set[str]]
     policy: policies.Policy = policies.ALL
 
@@ -128,24 +129,24 @@
         context: Dependencies of the scheduler.
         ledger: The ledger, with all commands of earlier leaders applied.
         fence: Raft term of this leader, the fencing token of its orders.
-        learnt: Estimates of worker speeds and run times from the ledger.
+        history: Estimates of worker speeds and run times from the ledger.
         leader_known_at: Monotonic time at which a previous leader was last
             known.
     """
 
     def __init__(
         self,
-        context: Context,
+        context: SchedulerContext,
         ledger: ledgers.BatchLedger,
         fence: int,
-        learnt: learnt_module.Learnt,
+        history: ledger_estimates.LedgerEstimates,
         leader_known_at: float,
     ) -> None:
         self.ledger = ledger
         self.client = context.client
         self.clock = context.clock
         self.fence = fence
-        self.longest_lease_ms = context.bounds.longest_lease_ms
+        self.longest_lease_ms = context.worker_limits.longest_lease_ms
         self.health = worker_health.WorkerHealth()
         self.order_timeout = learnt_wait.LearntWait(
             orders.MIN_ORDER_TIMEOUT_S,
@@ -154,8 +155,8 @@
         )
         self._context = context
         self._policy = context.policy
-        self._outlook = outlook.Outlook(
-            context.policy, ledger, learnt, self.health, context.clock
+        self._estimates = estimates.Estimates(
+            context.policy, ledger, history, self.health, context.clock
         )
         self._plan_log = plan_log.PlanLog(ledger, context.clock)
         self._sessions: dict[str, sessions.WorkerSession] = {}
@@ -165,7 +166,7 @@
         self._wakeup.set()
         self._scope = trio.CancelScope()
         self._nursery: trio.Nursery
-        self._kept_racks: dict[model.StepKey, str] = {}
+        self._reserved_racks: dict[model.StepKey, str] = {}
         self._domain_probed_at: dict[str, float] = {}
         self._next_retention_check_ms = 0
         announced_at = leader_known_at - INHERITED_ANNOUNCEMENT_AGE_S
@@ -183,7 +184,7 @@
                 await self._run_planner()
 
     def is_served(self, pool: str) -> bool:
-        """Returns whether a pool is configured, or a known job is for it."""
+        """Returns whether a pool is configured or a recorded job uses it."""
         if pool in self._context.pools():
             return True
         jobs = self.ledger.jobs.values()
@@ -270,14 +271,14 @@
             took_s = self.clock.monotonic() - began
             if plan.groups:
                 await self._place_groups(plan.groups)
-            pause_s = took_s * (1 / PLANNING_SHARE - 1)
+            pause_s = took_s * (1 / MAX_PLANNING_SHARE - 1)
             await trio.sleep(min(MAX_PLANNING_PAUSE_S, pause_s))
 
     def _make_plan(self) -> planner.Plan:
         """Returns a plan, after starting the stops of obsolete runs."""
         self._sync_sessions()
         self._stop_obsolete_runs()
-        contested = contested_workers.contested(
+        contested = contested_workers.contested_ids(
             self.ledger.workers.values(), self._context.pools()
         )
         for worker_id in contested:
@@ -292,26 +293,26 @@
         return min(HOUSEKEEPING_INTERVAL_S, (due_ms - now_ms) / 1000 + 0.001)
 
     def _plan_with(self, usable: abc.Set[str]) -> planner.Plan:
-        view = planner.View(
+        planner_input = planner.PlannerInput(
             self.ledger,
             usable,
             frozenset(self._stopping()),
             self._context.guarantees(),
             self.clock.wall_ms(),
-            self._outlook.avoid,
-            self._outlook.slowness,
-            self._kept_racks,
+            self._estimates.avoided_workers,
+            self._estimates.slowness,
+            self._reserved_racks,
             self._plan_log.is_due,
-            self._context.bounds.stop_grace_ms,
-            self._outlook.headroom(),
-            self._outlook.step_ms,
+            self._context.worker_limits.stop_grace_ms,
+            self._estimates.headroom(),
+            self._estimates.step_ms,
             self._policy,
         )
-        plan = planner.plan(view)
-        self._kept_racks = plan.kept_racks
-        self._plan_log.waiting(plan, len(usable))
+        plan = planner.plan(planner_input)
+        self._reserved_racks = plan.reserved_racks
+        self._plan_log.log_waiting(plan, len(usable))
         for run in plan.stops:
-            self._stop(run, URGENT_STOP_REASON, plan.stopped_for[run])
+            self._stop(run, URGENT_STOP_REASON, plan.preempted_for[run])
         return plan
 
     async def _place_groups(self, groups: abc.Sequence[commands.Group]) -> None:
@@ -328,7 +329,9 @@
         groups = [
             group
             for group in groups
-            if unreachable.isdisjoint(one.worker_id for one in group)
+            if unreachable.isdisjoint(
+                placement.worker_id for placement in group
+            )
         ]
         if unreachable:
             self.request_plan()
@@ -349,7 +352,7 @@
         async with trio.open_nursery() as nursery:
             # Sorted, so that an emulator run is reproducible.
             for worker_id in sorted(
-                {one.worker_id for group in groups for one in group}
+                {placement.worker_id for group in groups for placement in group}
             ):
                 nursery.start_soon(probe, worker_id)
         return unreachable
@@ -362,7 +365,7 @@
         assert isinstance(placed, commands.Placed)
         for group, refusal in zip(groups, placed.refusals, strict=True):
             for placement in group:
-                self._plan_log.placement(placement, refusal)
+                self._plan_log.log_placement(placement, refusal)
                 session = self._sessions.get(placement.worker_id)
                 if not refusal and session is not None:
                     session.start(placement.run)
@@ -377,14 +380,14 @@
             and worker_id not in contested
             and session.announcement_is_fresh
             and now >= session.start_backoff_until
-            and not self._outlook.set_aside(worker_id, now)
+            and not self._estimates.is_quarantined(worker_id, now)
         }
 
     def _stopping(self) -> set[model.RunId]:
-        found: set[model.RunId] = set()
+        stopping: set[model.RunId] = set()
         for session in self._sessions.values():
-            found |= session.stopping
-        return found
+            stopping |= session.stopping
+        return stopping
 
     def _stop(self, run: model.RunId, reason: str, for_job: str = "") -> None:
         record = self.ledger.runs.get(run)
@@ -396,7 +399,7 @@
         """Stops runs of ended jobs, done tasks and incomplete gangs."""
         obsolete = [
             (run, reason)
-            for key, runs in self.ledger.runs_of_steps.items()
+            for key, runs in self.ledger.runs_by_step.items()
             for run, reason in self._obsolete_runs(key, runs)
         ]
         for run, reason in obsolete:
@@ -482,7 +485,7 @@
             self.request_plan()
 
     async def _forget_ended_jobs(self) -> None:
-        """Removes jobs whose retention time is over, in batches."""
+        """Deletes ended jobs after their retention time, in batches."""
         now_ms = self.clock.wall_ms()
         self.health.keep_jobs(self.ledger.active_jobs)
         if now_ms < self._next_retention_check_ms:
@@ -491,7 +494,7 @@
             now_ms + RETENTION_CHECK_INTERVAL_S * 1000
         )
         before_ms = now_ms - int(ENDED_JOB_RETENTION_S * 1000)
-        if self.ledger.may_forget(before_ms):
+        if self.ledger.has_expired_records(before_ms):
             await self.commit(commands.ForgetJobs(before_ms))
 
     def _publish(self) -> None:
--- a/laburnumsill/batch/orders.py
+++ b/laburnumsill/batch/orders.py
@@ -30,7 +30,7 @@
 wait 3 s for this one."""
 
 START_BACKOFF_S = 1.0
-"""Time without new runs for a worker that has refused a start."""
+"""Time for which a worker that has refused a start gets no new runs."""
 
 
 class Orders:
@@ -180,7 +180,7 @@
         if lease_ms is None:
             state.wakeup.set()  # the next report returns the clock
             return False
-        state.leases.granted(lease_ms)
+        state.leases.record_grant(lease_ms)
         order = worker_client.StartOrder(
             run, record.job.payload, task.saved, lease_ms, state.term.fence
         )
@@ -189,7 +189,7 @@
             state.worker, order, now + state.term.order_timeout.seconds
         )
         state.record_answer(answer.clock_ms, now)
-        state.started[run] = 0
+        state.missed_reports[run] = 0
         state.term.health.observe_start(run, state.term.clock.monotonic())
         logs.event(
             "run-started",
@@ -217,7 +217,7 @@
         )
         clock_ms = error.context.get("clock_ms")
         if isinstance(clock_ms, int):
-            state.leases.observe(clock_ms, state.term.clock.monotonic())
+            state.leases.observe_clock(clock_ms, state.term.clock.monotonic())
 
     async def _stop(self, run: model.RunId) -> None:
         """Sends a stop order until the worker acknowledges it."""
--- a/laburnumsill/batch/planner.py
+++ b/laburnumsill/batch/planner.py
@@ -3,27 +3,27 @@
 Units are planned in order of priority and objective. A unit that fits is
 placed. An urgent unit that does not fit is allocated capacity that is about to
 be freed; if that is not enough, it preempts the cheapest runs of lower
-priority. A gang that has waited long gets a reservation (`keeping`), so that
-small tasks do not starve it; so does an urgent gang for which no preemption is
-possible.
+priority. A gang that has waited long gets a reservation (see `reservations`),
+so that small tasks do not starve it; so does an urgent gang for which no
+preemption is possible.
 """
 
 import dataclasses
 import functools
 from collections import abc
 
-from laburnumsill.batch import apart
-from laburnumsill.batch import checks
 from laburnumsill.batch import commands
 from laburnumsill.batch import headroom
-from laburnumsill.batch import keeping
+from laburnumsill.batch import isolation
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import model
 from laburnumsill.batch import packing
+from laburnumsill.batch import placement_checks
 from laburnumsill.batch import policy as policies
 from laburnumsill.batch import preemption
-from laburnumsill.batch import rooms
+from laburnumsill.batch import reservations
 from laburnumsill.batch import units
+from laburnumsill.batch import worker_capacity
 from laburnumsill.batch import worker_health
 
 RESERVE_AFTER_MS = 3_000
@@ -40,9 +40,9 @@
 in ms: the free capacity would otherwise stay unused. A step without runs may
 use reserved capacity after the same time."""
 
-APART_FOR_MS = 1_500
-"""How long a task that is suspected of crashing its worker waits for an idle
-worker, in ms; after that it goes to the worker with the fewest runs."""
+ISOLATION_TIMEOUT_MS = 1_500
+"""Time for which a task that is suspected of crashing its worker waits for an
+idle worker, in ms; after that it goes to the worker with the fewest runs."""
 
 MIN_SLACK_MS = 1_000
 """Single tasks leave headroom while their job has at least this slack, in ms:
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
+class PlannerInput:
     """Input of the planner.
 
     Attributes:
@@ -68,9 +68,10 @@
         stopping: Runs that were ordered to stop and have not ended yet.
         guarantees: Guaranteed accelerators by client account.
         now_ms: Wall time, ms since 1970.
-        avoid: Returns the workers on which a task should not run again.
+        avoided_workers: Returns the workers that a task should not run on
+            again.
         slowness: Returns the run time on a worker relative to other workers.
-        kept_racks: Reserved racks of the previous plan, by gang.
+        reserved_racks: Reserved racks of the previous plan, by gang.
         explain: Returns whether the plan should explain why a unit waits.
         stop_grace_ms: Time within which a run ends after a stop order, in ms.
         headroom: Accelerators that units with slack leave free for urgent jobs.
@@ -83,9 +84,11 @@
     stopping: abc.Set[model.RunId]
     guarantees: abc.Mapping[str, int]
     now_ms: int
-    avoid: abc.Callable[[model.TaskId], abc.Set[str]] = lambda _: frozenset()
+    avoided_workers: abc.Callable[[model.TaskId], abc.Set[str]] = lambda _: (
+        frozenset()
+    )
     slowness: abc.Callable[[str], float] = lambda _: 1.0
-    kept_racks: abc.Mapping[model.StepKey, str] = dataclasses.field(
+    reserved_racks: abc.Mapping[model.StepKey, str] = dataclasses.field(
         default_factory=dict
     )
     explain: abc.Callable[[model.StepKey], bool] = lambda _: False
@@ -103,53 +106,58 @@
         groups: Runs to place; a group is placed as a whole or not at all.
         stops: Runs to preempt.
         waiting: Units with tasks that could not be placed.
-        kept_racks: Reserved racks by gang, an input of the next plan.
+        reserved_racks: Reserved racks by gang, an input of the next plan.
         obstacles: Why units wait, for the log.
-        stopped_for: The preempting job of each run in `stops`, for the log.
+        preempted_for: The preempting job of each run in `stops`, for the log.
     """
 
     groups: list[commands.Group]
     stops: list[model.RunId]
     waiting: list[units.Unit]
-    kept_racks: dict[model.StepKey, str] = dataclasses.field(
+    reserved_racks: dict[model.StepKey, str] = dataclasses.field(
         default_factory=dict
     )
     obstacles: dict[model.StepKey, str] = dataclasses.field(
         default_factory=dict
     )
-    stopped_for: dict[model.RunId, str] = dataclasses.field(
+    preempted_for: dict[model.RunId, str] = dataclasses.field(
         default_factory=dict
     )
 
 
-def plan(view: View) -> Plan:
+def plan(planner_input: PlannerInput) -> Plan:
     """Returns the runs to place and to stop.
 
     Does not look at the workers if no unit waits, which is the case at most
     events of a site with little load.
     """
-    waiting = units.ready_units(view.ledger, view.now_ms, view.step_ms)
+    waiting = units.ready_units(
+        planner_input.ledger, planner_input.now_ms, planner_input.step_ms
+    )
     if not waiting:
         return Plan([], [], [])
-    return _Planner(view).run(waiting)
+    return _Planner(planner_input).run(waiting)
 
 
 class _Planner:
     """Makes one plan; units planned earlier reduce the capacity for later ones.
 
     Args:
-        view: The input of the planner.
+        planner_input: The input of the planner.
     """
 
-    def __init__(self, view: View) -> None:
-        self._view = view
-        self._ledger = view.ledger
-        self._policy = view.policy
+    def __init__(self, planner_input: PlannerInput) -> None:
+        self._input = planner_input
+        self._ledger = planner_input.ledger
+        self._policy = planner_input.policy
         self._plan = Plan([], [], [])
-        self._candidates = rooms.find_candidates(
-            view.ledger, view.usable, view.stopping, view.slowness
+        self._candidates = worker_capacity.find_candidates(
+            planner_input.ledger,
+            planner_input.usable,
+            planner_input.stopping,
+            planner_input.slowness,
         )
-        self._urgent_demand = headroom.urgent_demand(view.ledger)
+        self._urgent_demand = headroom.urgent_demand(planner_input.ledger)
         self._victims: preemption.Victims | None = None
         self._reservations = 0
         self._reservation_start_ms = 0.0
@@ -172,30 +180,32 @@
 
     def _can_meet_objective(self, unit: units.Unit) -> bool:
         """Returns whether a unit that starts now can meet its objective."""
-        return self._view.now_ms + unit.critical_path_ms <= unit.objective_ms
+        return self._input.now_ms + unit.critical_path_ms <= unit.objective_ms
 
     def _is_within_guarantee(self, unit: units.Unit) -> bool:
         """Returns whether an urgent unit is within its account's guarantee."""
         if unit.priority != packing.URGENT_PRIORITY:
             return False
         account = unit.record.job.account
-        guarantee = self._view.guarantees.get(account, 0)
+        guarantee = self._input.guarantees.get(account, 0)
         return self._urgent_demand[account] <= guarantee
 
     def _plan_unit(self, unit: units.Unit) -> None:
-        """Places what fits of a unit, else preempts or reserves for it."""
+        """Places the tasks that fit; preempts or reserves for the others."""
         candidates = self._eligible(unit)
-        found = [] if self._cannot_fit(unit) else self._fit(unit, candidates)
+        assignment = (
+            [] if self._cannot_fit(unit) else self._fit(unit, candidates)
+        )
         may_backfill = self._may_backfill() and self._may_share(unit)
-        if len(found) < len(unit.tasks) and may_backfill:
-            found = self._backfill(unit, candidates, found)
-        found = self._within_headroom(unit, found)
-        self._place_tasks(unit, found)
-        placed = {task for task, _ in found}
+        if len(assignment) < len(unit.tasks) and may_backfill:
+            assignment = self._backfill(unit, candidates, assignment)
+        assignment = self._within_headroom(unit, assignment)
+        self._place_tasks(unit, assignment)
+        placed = {task for task, _ in assignment}
         unit.tasks = [task for task in unit.tasks if task not in placed]
         if not unit.tasks:
             return
-        if self._view.explain(unit.key):
+        if self._input.explain(unit.key):
             self._plan.obstacles[unit.key] = self._obstacle(unit, candidates)
         self._plan.waiting.append(unit)
         if not self._may_share(unit):
@@ -206,18 +216,22 @@
             self._reserve_for(unit, candidates)
 
     def _fit(
-        self, unit: units.Unit, candidates: list[rooms.Candidate]
+        self, unit: units.Unit, candidates: list[worker_capacity.Candidate]
     ) -> packing.Assignment:
         """Returns an assignment that isolates suspects where possible."""
         if not self._ledger.crashes.suspects:
             return self._fit_in_free(unit, candidates)
         fit = functools.partial(self._fit_in_free, unit)
         if unit.isolated_since_ms is None:
-            return apart.fit_regular(unit, candidates, fit)
-        return apart.fit_suspect(unit, candidates, fit, self._may_share(unit))
+            return isolation.fit_regular(unit, candidates, fit)
+        return isolation.fit_suspect(
+            unit, candidates, fit, self._may_share(unit)
+        )
 
     def _fit_in_free(
-        self, unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
+        self,
+        unit: units.Unit,
+        candidates: abc.Sequence[worker_capacity.Candidate],
     ) -> packing.Assignment:
         return packing.fit(
             unit,
@@ -230,48 +244,51 @@
     def _may_share(self, unit: units.Unit) -> bool:
         """Returns whether a unit may share a worker with other runs."""
         since_ms = unit.isolated_since_ms
-        return since_ms is None or self._view.now_ms >= since_ms + APART_FOR_MS
+        return (
+            since_ms is None
+            or self._input.now_ms >= since_ms + ISOLATION_TIMEOUT_MS
+        )
 
     def _backfill(
         self,
         unit: units.Unit,
-        candidates: list[rooms.Candidate],
-        found: packing.Assignment,
+        candidates: list[worker_capacity.Candidate],
+        assignment: packing.Assignment,
     ) -> packing.Assignment:
         """Returns an assignment that may use reserved capacity.
 
         Tasks that will end before the reserved gang starts may use it. So may
-        a step without runs although most of its pool is free. Of such a step
-        one task is placed, so that its job makes progress; this delays the
-        gang little, as the task goes to the worker with the least free
+        a step that waits without runs while most of its pool is free. Of such
+        a step one task is placed, so that its job makes progress; this delays
+        the gang little, as the task goes to the worker with the least free
         capacity. Another gang is placed as a whole, but does not spread over
         racks for this: it would be slow and occupy the capacity for long.
 
         Args:
             unit: The tasks.
             candidates: The workers that may run them.
-            found: The assignment without reserved capacity.
+            assignment: The assignment without reserved capacity.
         """
         ends_before = self._ends_before_reservation(unit)
-        if not ends_before and (found or not self._is_starved(unit)):
-            return found
-        found = packing.fit(
+        if not ends_before and (assignment or not self._is_starved(unit)):
+            return assignment
+        assignment = packing.fit(
             unit, candidates, packing.free_or_reserved, self._count_runs
         )
-        return found if ends_before or unit.step.gang else found[:1]
+        return assignment if ends_before or unit.step.gang else assignment[:1]
 
     def _may_backfill(self) -> bool:
         return self._reservations > 0 and self._policy.tasks_in_kept_room
 
     def _is_starved(self, unit: units.Unit) -> bool:
-        """Returns whether a step has long had no run in a mostly free pool."""
-        waited = self._view.now_ms - unit.waiting_since_ms
-        if waited < SPREAD_AFTER_MS or unit.key in self._ledger.runs_of_steps:
+        """Returns whether a step waits without runs in a mostly free pool."""
+        waited = self._input.now_ms - unit.waiting_since_ms
+        if waited < SPREAD_AFTER_MS or unit.key in self._ledger.runs_by_step:
             return False
         return self._is_mostly_free(unit)
 
     def _within_headroom(
-        self, unit: units.Unit, found: packing.Assignment
+        self, unit: units.Unit, assignment: packing.Assignment
     ) -> packing.Assignment:
         """Returns the part of an assignment that leaves headroom.
 
@@ -281,16 +298,16 @@
         """
         step = unit.step
         if not self._leaves_headroom(unit):
-            return found
+            return assignment
         candidates = self._candidates_for(unit).all
         free = sum(candidate.free.accelerators for candidate in candidates)
         max_tasks = (
-            max(0, free - self._view.headroom) // step.needs.accelerators
+            max(0, free - self._input.headroom) // step.needs.accelerators
         )
         if step.gang:
-            return found if len(found) <= max_tasks else []
-        min_tasks = 0 if unit.key in self._ledger.runs_of_steps else 1
-        return found[: max(min_tasks, max_tasks)]
+            return assignment if len(assignment) <= max_tasks else []
+        min_tasks = 0 if unit.key in self._ledger.runs_by_step else 1
+        return assignment[: max(min_tasks, max_tasks)]
 
     def _leaves_headroom(self, unit: units.Unit) -> bool:
         """Returns whether a unit has enough slack to leave headroom.
@@ -301,11 +318,13 @@
         finds enough free capacity.
         """
         step = unit.step
-        if unit.priority == packing.URGENT_PRIORITY or not self._view.headroom:
+        if unit.priority == packing.URGENT_PRIORITY or not self._input.headroom:
             return False
         if step.long_running or not step.needs.accelerators:
             return False
-        slack_ms = unit.objective_ms - self._view.now_ms - unit.critical_path_ms
+        slack_ms = (
+            unit.objective_ms - self._input.now_ms - unit.critical_path_ms
+        )
         min_ms = unit.critical_path_ms if step.gang else MIN_SLACK_MS
         return slack_ms >= min_ms
 
@@ -319,19 +338,21 @@
         key = (unit.record.job.terms.pool, step.required_label, step.needs)
         if key not in self._max_slots:
             self._max_slots[key] = sum(
-                step.needs.times_in(candidate.free)
+                step.needs.copies_in(candidate.free)
                 for candidate in self._candidates_for(unit).all
             )
         wanted = len(unit.tasks) if step.gang else 1
         return self._max_slots[key] < wanted
 
     def _may_spread(
-        self, unit: units.Unit, candidates: abc.Sequence[rooms.Candidate]
+        self,
+        unit: units.Unit,
+        candidates: abc.Sequence[worker_capacity.Candidate],
     ) -> bool:
         """Returns whether a gang should span racks rather than wait for one."""
         if not self._policy.spreading:
             return False
-        waited = self._view.now_ms - unit.waiting_since_ms
+        waited = self._input.now_ms - unit.waiting_since_ms
         return waited >= SPREAD_AFTER_MS and packing.mostly_free(
             candidates, packing.free_now
         )
@@ -355,31 +376,33 @@
             )
         return self._pool_candidates[key]
 
-    def _eligible(self, unit: units.Unit) -> list[rooms.Candidate]:
+    def _eligible(self, unit: units.Unit) -> list[worker_capacity.Candidate]:
         """Returns the candidates for a unit, if possible without poor workers.
 
         These are very slow workers and those that a task should avoid.
         """
         pool = self._candidates_for(unit)
-        waited = self._view.now_ms - unit.waiting_since_ms
+        waited = self._input.now_ms - unit.waiting_since_ms
         if waited >= ANY_WORKER_AFTER_MS:
             return pool.all  # a poor worker is better than none
-        avoid: set[str] = set()
+        avoided: set[str] = set()
         for task in unit.tasks:
-            avoid |= self._view.avoid(task)
-        if not avoid:
+            avoided |= self._input.avoided_workers(task)
+        if not avoided:
             return pool.not_very_slow or pool.all
         others = [
             candidate
             for candidate in pool.all
-            if candidate.worker.worker_id not in avoid
+            if candidate.worker.worker_id not in avoided
         ]
         return _without_very_slow(others) or others or pool.all
 
-    def _place_tasks(self, unit: units.Unit, found: packing.Assignment) -> None:
+    def _place_tasks(
+        self, unit: units.Unit, assignment: packing.Assignment
+    ) -> None:
         """Adds runs to the plan, as one group for a gang."""
         placements = []
-        for task, candidate in found:
+        for task, candidate in assignment:
             candidate.allocate(unit.step.needs)
             candidate.run_count += 1
             candidate.has_suspect |= unit.isolated_since_ms is not None
@@ -393,14 +416,15 @@
             self._plan.groups += [(placement,) for placement in placements]
 
     def _obstacle(
-        self, unit: units.Unit, candidates: list[rooms.Candidate]
+        self, unit: units.Unit, candidates: list[worker_capacity.Candidate]
     ) -> str:
         """Returns a summary of the free slots, without spaces, for the log."""
         slots = [
             sum(
-                unit.step.needs.times_in(candidate.free) for candidate in inside
+                unit.step.needs.copies_in(candidate.free)
+                for candidate in inside
             )
-            for inside in rooms.by_rack(candidates).values()
+            for inside in worker_capacity.by_rack(candidates).values()
         ]
         return (
             f"workers:{len(candidates)},best-rack:{max(slots, default=0)},"
@@ -408,7 +432,7 @@
         )
 
     def _preempt_for(
-        self, unit: units.Unit, candidates: list[rooms.Candidate]
+        self, unit: units.Unit, candidates: list[worker_capacity.Candidate]
     ) -> None:
         """Allocates capacity that is about to be freed, else preempts runs."""
         soon = packing.fit(
@@ -417,7 +441,7 @@
         if len(soon) == len(unit.tasks):
             self._allocate(unit, soon)
             return
-        eviction = preemption.evict(
+        chosen = preemption.find_preemption(
             unit,
             candidates,
             self._preemptible(),
@@ -425,17 +449,19 @@
             self._needs_fast_workers(unit, candidates),
             self._policy,
         )
-        if eviction is None:
+        if chosen is None:
             self._allocate(unit, soon)
             if unit.step.gang:
                 self._reserve_for(unit, candidates)
             return
-        for victim in eviction.victims:
+        for victim in chosen.victims:
             self._stop(victim, unit)
-        self._allocate(unit, eviction.assignment)
+        self._allocate(unit, chosen.assignment)
 
     def _needs_fast_workers(
-        self, unit: units.Unit, candidates: abc.Iterable[rooms.Candidate]
+        self,
+        unit: units.Unit,
+        candidates: abc.Iterable[worker_capacity.Candidate],
     ) -> bool:
         """Returns whether a unit misses its objective on the slowest worker.
 
@@ -444,7 +470,7 @@
         slowest = max(
             (candidate.slowness for candidate in candidates), default=1.0
         )
-        start_ms = self._view.now_ms + self._view.stop_grace_ms
+        start_ms = self._input.now_ms + self._input.stop_grace_ms
         end_ms = start_ms + slowest * unit.critical_path_ms
         return end_ms > unit.objective_ms
 
@@ -454,8 +480,8 @@
                 preemption.victims_below(
                     self._ledger,
                     packing.URGENT_PRIORITY,
-                    self._view.stopping,
-                    self._view.now_ms,
+                    self._input.stopping,
+                    self._input.now_ms,
                 )
             )
         return self._victims
@@ -466,35 +492,37 @@
             self._victims.remove(victim)
         self._plan.stops += victim.runs
         for run in victim.runs:
-            self._plan.stopped_for[run] = unit.record.job.job_id
+            self._plan.preempted_for[run] = unit.record.job.job_id
         for worker_id, amount in victim.freed.items():
             candidate = self._candidates.get(worker_id)
             if candidate is not None:
                 candidate.used_by_stopping += amount
 
     def _reserve_for(
-        self, unit: units.Unit, candidates: list[rooms.Candidate]
+        self, unit: units.Unit, candidates: list[worker_capacity.Candidate]
     ) -> None:
         """Reserves capacity for a gang that has waited long."""
         if not self._policy.kept_rooms:
             return
-        waited = self._view.now_ms - unit.waiting_since_ms
+        waited = self._input.now_ms - unit.waiting_since_ms
         if waited < RESERVE_AFTER_MS or self._reservations >= MAX_RESERVATIONS:
             return
-        previous_rack = self._view.kept_racks.get(unit.key, "")
-        reservation = keeping.find_reservation(unit, candidates, previous_rack)
+        previous_rack = self._input.reserved_racks.get(unit.key, "")
+        reservation = reservations.find_reservation(
+            unit, candidates, previous_rack
+        )
         if reservation is None:
             return
         self._reservations += 1
-        self._reservation_start_ms = keeping.expected_start_ms(
+        self._reservation_start_ms = reservations.expected_start_ms(
             unit,
             reservation,
             self._ledger,
-            self._view.now_ms,
-            self._view.step_ms,
+            self._input.now_ms,
+            self._input.step_ms,
         )
         if reservation.rack:
-            self._plan.kept_racks[unit.key] = reservation.rack
+            self._plan.reserved_racks[unit.key] = reservation.rack
         for candidate, count in reservation.slots:
             for _ in range(count):
                 candidate.reserve(unit.step.needs)
@@ -504,17 +532,19 @@
         step = unit.step
         if step.gang or step.long_running:
             return False
-        step_ms = self._view.step_ms(unit.record.job, unit.step_index)
+        step_ms = self._input.step_ms(unit.record.job, unit.step_index)
         max_ms = BACKFILL_TIME_FACTOR * step_ms
-        return self._view.now_ms + max_ms <= self._reservation_start_ms
+        return self._input.now_ms + max_ms <= self._reservation_start_ms
 
-    def _allocate(self, unit: units.Unit, found: packing.Assignment) -> None:
+    def _allocate(
+        self, unit: units.Unit, assignment: packing.Assignment
+    ) -> None:
         """Subtracts the capacity of runs that are to be placed later."""
-        for _, candidate in found:
+        for _, candidate in assignment:
             candidate.allocate(unit.step.needs)
 
     def _count_runs(self, worker_id: str, task: model.TaskId) -> int:
-        return checks.count_runs(self._ledger, worker_id, task)
+        return placement_checks.count_runs(self._ledger, worker_id, task)
 
 
 @dataclasses.dataclass(slots=True)
@@ -528,16 +558,16 @@
             Free capacity only shrinks while a plan is made, so False is final.
     """
 
-    all: list[rooms.Candidate]
-    not_very_slow: list[rooms.Candidate]
+    all: list[worker_capacity.Candidate]
+    not_very_slow: list[worker_capacity.Candidate]
     mostly_free: bool = True
 
 
 def _without_very_slow(
-    candidates: abc.Iterable[rooms.Candidate],
-) -> list[rooms.Candidate]:
+    candidates: abc.Iterable[worker_capacity.Candidate],
+) -> list[worker_capacity.Candidate]:
     return [
         candidate
         for candidate in candidates
-        if candidate.slowness < worker_health.VERY_SLOW
+        if candidate.slowness < worker_health.VERY_SLOW_RATIO
     ]
--- a/laburnumsill/batch/preemption.py
+++ b/laburnumsill/batch/preemption.py
@@ -14,8 +14,8 @@
 from laburnumsill.batch import packing
 from laburnumsill.batch import policy as policies
 from laburnumsill.batch import records
-from laburnumsill.batch import rooms
 from laburnumsill.batch import units
+from laburnumsill.batch import worker_capacity
 
 MAX_UNSAVED_WORK_S = 1.0
 """Work that a run of a step with saved progress loses at most, in seconds: the
@@ -46,8 +46,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Eviction:
-    """Runs to stop, and the unit's assignment once they have ended."""
+class Preemption:
+    """Runs to stop, and the assignment of the unit after they have ended."""
 
     victims: tuple[Victim, ...]
     assignment: packing.Assignment
@@ -76,16 +76,16 @@
 
     def freed_on(self, worker_id: str) -> model.Resources:
         """Returns the resources that all victims together free on a worker."""
-        return self._all_freed.get(worker_id, _NOTHING)
+        return self._all_freed.get(worker_id, _NO_RESOURCES)
 
     def remove(self, victim: Victim) -> None:
-        """Removes a victim, as it is being stopped."""
+        """Removes a victim that is being stopped."""
         for worker_id, freed in victim.freed.items():
             self._on_worker[worker_id].remove(victim)
             self._all_freed[worker_id] -= freed
 
 
-_NOTHING = model.Resources()
+_NO_RESOURCES = model.Resources()
 
 
 def victims_below(
@@ -95,29 +95,29 @@
     now_ms: int,
 ) -> list[Victim]:
     """Returns the victims for a unit of a priority: runs of lower priority."""
-    found: list[Victim] = []
-    for key, runs in ledger.runs_of_steps.items():
+    below: list[Victim] = []
+    for key, runs in ledger.runs_by_step.items():
         job = ledger.jobs[key[0]].job
         if job.terms.priority <= priority:
             continue
         step = job.steps[key[2]]
         left = [run for run in runs.values() if run.run not in stopping]
         if not step.gang:
-            found += [_make_victim(step, (run,), now_ms) for run in left]
+            below += [_make_victim(step, (run,), now_ms) for run in left]
         elif left:
-            found.append(_make_victim(step, left, now_ms))
-    return found
+            below.append(_make_victim(step, left, now_ms))
+    return below
 
 
-def evict(
+def find_preemption(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     victims: Victims,
     count_runs: packing.CountRuns,
     fast_first: bool,
     policy: policies.Policy = policies.ALL,
-) -> Eviction | None:
-    """Returns the cheapest eviction found for a unit, or None.
+) -> Preemption | None:
+    """Returns the cheapest preemption found for a unit, or None.
 
     Args:
         unit: An urgent unit that fits neither now nor soon.
@@ -133,25 +133,28 @@
     ]
     preferences = [fast, candidates] if fast_first else [candidates]
     for preferred in preferences:
-        racks = rooms.by_rack(preferred)
-        evictions = [
-            _evict_from(unit, inside, victims, count_runs, policy)
+        racks = worker_capacity.by_rack(preferred)
+        preemptions = [
+            _preemption_on(unit, inside, victims, count_runs, policy)
             for inside in racks.values()
         ]
-        found = [choice for choice in evictions if choice is not None]
-        if found:
-            return min(found, key=lambda one: sum(v.cost for v in one.victims))
-    return _evict_from(unit, candidates, victims, count_runs, policy)
+        sufficient = [choice for choice in preemptions if choice is not None]
+        if sufficient:
+            return min(
+                sufficient,
+                key=lambda choice: sum(v.cost for v in choice.victims),
+            )
+    return _preemption_on(unit, candidates, victims, count_runs, policy)
 
 
-def _evict_from(
+def _preemption_on(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     victims: Victims,
     count_runs: packing.CountRuns,
     policy: policies.Policy,
-) -> Eviction | None:
-    """Returns the eviction that frees slots on some workers, or None."""
+) -> Preemption | None:
+    """Returns the preemption that frees slots on some workers, or None."""
     selection = _VictimSelection(
         unit.step.needs, candidates, victims, policy.cheapest_slot
     )
@@ -162,7 +165,7 @@
     assignment = packing.fit(unit, candidates, selection.available, count_runs)
     if len(assignment) < len(unit.tasks):
         return None  # the step's limit per worker leaves too few slots
-    return Eviction(tuple(selection.chosen), assignment)
+    return Preemption(tuple(selection.chosen), assignment)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -196,7 +199,7 @@
     def __init__(
         self,
         needs: model.Resources,
-        candidates: abc.Sequence[rooms.Candidate],
+        candidates: abc.Sequence[worker_capacity.Candidate],
         victims: Victims,
         cheapest: bool,
     ) -> None:
@@ -209,12 +212,14 @@
             for candidate in candidates
         }
         self._slots = sum(
-            needs.times_in(free) for free in self._soon_free.values()
+            needs.copies_in(free) for free in self._soon_free.values()
         )
         self._options: dict[str, _Option] = {}
 
-    def available(self, candidate: rooms.Candidate) -> model.Resources:
-        """Returns what is free on a worker once the chosen have ended."""
+    def available(
+        self, candidate: worker_capacity.Candidate
+    ) -> model.Resources:
+        """Returns a worker's free capacity after the chosen victims end."""
         return self._soon_free[candidate.worker.worker_id]
 
     def make_slots(self, wanted: int) -> bool:
@@ -247,7 +252,7 @@
         A victim was chosen for one slot, which a gang that was chosen later
         may free as well. The most expensive victims are tried first.
         """
-        for victim in sorted(self.chosen, key=lambda one: -one.cost):
+        for victim in sorted(self.chosen, key=lambda victim: -victim.cost):
             self._apply(victim, -1)
             if self._slots >= wanted:
                 self.chosen.remove(victim)
@@ -257,7 +262,7 @@
     def _max_slots(self) -> int:
         """Returns how many slots there would be if all victims were stopped."""
         return sum(
-            self._needs.times_in(free + self._victims.freed_on(worker_id))
+            self._needs.copies_in(free + self._victims.freed_on(worker_id))
             for worker_id, free in self._soon_free.items()
         )
 
@@ -265,7 +270,7 @@
         """Recomputes the victims for one more slot on a worker."""
         self._options.pop(worker_id, None)
         free = self._soon_free[worker_id]
-        before = self._needs.times_in(free)
+        before = self._needs.copies_in(free)
         cost = 0.0
         group: list[Victim] = []
         for victim in self._victims.on_worker(worker_id):
@@ -274,7 +279,7 @@
             group.append(victim)
             cost += victim.cost
             free += victim.freed[worker_id]
-            gained = self._needs.times_in(free) - before
+            gained = self._needs.copies_in(free) - before
             if gained > 0:
                 self._options[worker_id] = _Option(
                     cost / gained, worker_id, tuple(group)
@@ -296,13 +301,15 @@
                 continue
             after = before + freed if sign > 0 else before - freed
             self._soon_free[worker_id] = after
-            self._slots += self._needs.times_in(after)
-            self._slots -= self._needs.times_in(before)
+            self._slots += self._needs.copies_in(after)
+            self._slots -= self._needs.copies_in(before)
 
 
 def _cost_per_core(worker_id: str, victim: Victim) -> float:
     """Returns a victim's cost for each core that it frees on a worker."""
-    return victim.cost / max(model.weight(victim.freed[worker_id]), 0.001)
+    return victim.cost / max(
+        model.core_equivalents(victim.freed[worker_id]), 0.001
+    )
 
 
 def _make_victim(
@@ -318,5 +325,5 @@
         lost_s += (
             min(ran_s, MAX_UNSAVED_WORK_S) if step.saves_progress else ran_s
         )
-    cost = PREEMPTION_COST_CORE_S + lost_s * model.weight(step.needs)
+    cost = PREEMPTION_COST_CORE_S + lost_s * model.core_equivalents(step.needs)
     return Victim(tuple(run.run for run in runs), cost, freed)
--- a/laburnumsill/batch/keeping.py
+++ b/laburnumsill/batch/reservations.py
@@ -10,8 +10,8 @@
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import packing
 from laburnumsill.batch import records
-from laburnumsill.batch import rooms
 from laburnumsill.batch import units
+from laburnumsill.batch import worker_capacity
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -24,12 +24,12 @@
     """
 
     rack: str
-    slots: abc.Sequence[tuple[rooms.Candidate, int]]
+    slots: abc.Sequence[tuple[worker_capacity.Candidate, int]]
 
 
 def find_reservation(
     unit: units.Unit,
-    candidates: abc.Sequence[rooms.Candidate],
+    candidates: abc.Sequence[worker_capacity.Candidate],
     previous_rack: str,
 ) -> Reservation | None:
     """Returns a reservation for a gang, or None if its pool cannot hold it.
@@ -76,7 +76,7 @@
     ends = [
         _expected_end_ms(run, ledger, now_ms, step_ms)
         for candidate, count in reservation.slots
-        if unit.step.needs.times_in(candidate.free) < count
+        if unit.step.needs.copies_in(candidate.free) < count
         for run in ledger.runs_on(candidate.worker.worker_id).values()
     ]
     return max(ends, default=0.0)
@@ -101,17 +101,19 @@
 
 
 def _soon_free_slots(
-    unit: units.Unit, candidates: abc.Iterable[rooms.Candidate]
+    unit: units.Unit, candidates: abc.Iterable[worker_capacity.Candidate]
 ) -> int:
     """Returns how many of a unit's tasks fit into the soon free capacity."""
     return sum(
-        unit.step.needs.times_in(candidate.soon_free)
+        unit.step.needs.copies_in(candidate.soon_free)
         for candidate in candidates
     )
 
 
 def _reservation(
-    unit: units.Unit, rack: str, candidates: abc.Iterable[rooms.Candidate]
+    unit: units.Unit,
+    rack: str,
+    candidates: abc.Iterable[worker_capacity.Candidate],
 ) -> Reservation | None:
     """Returns a reservation of the emptiest workers, or None if too few."""
     slots = []
@@ -124,7 +126,7 @@
     return Reservation(rack, slots) if not left else None
 
 
-def _emptiest_first(candidate: rooms.Candidate) -> tuple[int, str]:
+def _emptiest_first(candidate: worker_capacity.Candidate) -> tuple[int, str]:
     """Returns a sort key that puts the most soon free capacity first.
 
     Reserved workers get no new runs and become emptier, so the next plan
--- a/laburnumsill/batch/placed_runs.py
+++ b/laburnumsill/batch/run_timer.py
@@ -7,7 +7,7 @@
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import model
 
-MAX_UNFINISHED = 4_096
+MAX_TRACKED_RUNS = 4_096
 """Number of tracked runs above which those that are not live are dropped."""
 
 RunFilter = abc.Callable[[model.Step, commands.Group], bool]
@@ -30,7 +30,7 @@
     took_ms: int
 
 
-class PlacedRuns:
+class RunTimer:
     """Measures the run times of runs in a ledger.
 
     Runs that resume from saved progress are not measured: they are shorter by
@@ -48,7 +48,7 @@
         self._run_filter = run_filter
         self._placed: dict[model.RunId, tuple[str, int]] = {}
 
-    def done_by(self, command: object) -> list[DoneRun]:
+    def observe(self, command: object) -> list[DoneRun]:
         """Processes an applied command; returns the runs that it completed."""
         if isinstance(command, commands.PlaceRuns):
             self._track(command)
@@ -63,7 +63,7 @@
                 if run in self._ledger.runs and self._is_selected(run, group):
                     placed = (placement.worker_id, command.at_ms)
                     self._placed[run] = placed
-        if len(self._placed) > MAX_UNFINISHED:
+        if len(self._placed) > MAX_TRACKED_RUNS:
             live = self._ledger.runs
             self._placed = {
                 run: placed
--- a/laburnumsill/batch/scheduler.py
+++ b/laburnumsill/batch/scheduler.py
@@ -9,10 +9,10 @@
 
 from laburnumsill.batch import caller_commands
 from laburnumsill.batch import commands
-from laburnumsill.batch import last_lead
+from laburnumsill.batch import last_leader
 from laburnumsill.batch import leading
-from laburnumsill.batch import learnt as learnt_module
 from laburnumsill.batch import ledger as ledgers
+from laburnumsill.batch import ledger_estimates
 from laburnumsill.core import errors
 from laburnumsill.core import logs
 from laburnumsill.core import replication
@@ -25,13 +25,13 @@
         context: Dependencies of the scheduler.
     """
 
-    def __init__(self, context: leading.Context) -> None:
+    def __init__(self, context: leading.SchedulerContext) -> None:
         self._context = context
         self._group = context.group
         self._groups = context.groups
         self._term: leading.LeadingTerm | None = None
-        self._learnt: learnt_module.Learnt | None = None
-        self._last_leader = last_lead.LastKnownLeader()
+        self._history: ledger_estimates.LedgerEstimates | None = None
+        self._last_leader = last_leader.LastKnownLeader()
 
     async def run(self) -> None:
         """Runs a term whenever this VM leads, until cancelled."""
@@ -45,7 +45,7 @@
                 )
             await trio.sleep(leading.LEADERSHIP_POLL_S)
 
-    def hear(self, worker_id: str, clock_ms: int | None) -> None:
+    def observe_heartbeat(self, worker_id: str, clock_ms: int | None) -> None:
         """Passes a heartbeat to the term, if this VM leads.
 
         Args:
@@ -55,19 +55,19 @@
         if self._term is not None:
             self._term.observe_heartbeat(worker_id, clock_ms)
 
-    def follow(self, machine: replication.StateMachine) -> None:
+    def observe_machine(self, machine: replication.StateMachine) -> None:
         """Observes all commands that a replica's state machine applies.
 
         Called before the first command, so that a new leader has the same
         estimates as earlier leaders had.
         """
         ledger = machine.component(ledgers.BatchLedger.name)
-        learnt = learnt_module.Learnt(ledger)
-        self._learnt = learnt
-        machine.observe(learnt.observe)
-        machine.observe(self.notice)
+        history = ledger_estimates.LedgerEstimates(ledger)
+        self._history = history
+        machine.observe(history.observe)
+        machine.observe(self.on_command)
 
-    def notice(self, command: object) -> None:
+    def on_command(self, command: object) -> None:
         """Requests a plan after a command that can affect planning."""
         if self._term is not None and not isinstance(
             command, commands.NoteRunning
@@ -83,7 +83,7 @@
             self._context,
             ledger,
             fence,
-            self._learnt or learnt_module.Learnt(ledger),
+            self._history or ledger_estimates.LedgerEstimates(ledger),
             self._last_leader.known_at,
         )
         logs.event("scheduler-started", group=self._group, fence=fence)
--- a/laburnumsill/batch/worker_speeds.py
+++ b/laburnumsill/batch/worker_speeds.py
@@ -18,9 +18,9 @@
 from laburnumsill.batch import commands
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import model
-from laburnumsill.batch import placed_runs
+from laburnumsill.batch import run_timer
 
-NOTICEABLY_SLOW = 1.12
+SLOW_RATIO = 1.12
 """Relative run time from which a worker counts as slow."""
 
 SAMPLES_PER_WORKER = 16
@@ -70,7 +70,7 @@
 
     def __init__(self, ledger: ledgers.BatchLedger) -> None:
         self._ledger = ledger
-        self._placed = placed_runs.PlacedRuns(ledger, _is_comparable)
+        self._timer = run_timer.RunTimer(ledger, _is_comparable)
         self._steps: collections.OrderedDict[model.StepKey, _StepTimes] = (
             collections.OrderedDict()
         )
@@ -92,7 +92,7 @@
 
     def observe(self, command: object) -> None:
         """Updates the estimates after a command was applied to the ledger."""
-        done = self._placed.done_by(command)
+        done = self._timer.observe(command)
         for run in done:
             self._add(run.task, run.worker_id, math.log(run.took_ms / 1000))
         if done:
@@ -138,11 +138,13 @@
                 yield max(-MAX_EFFECT, min(MAX_EFFECT, residual))
 
     def _fit_baseline(self) -> None:
-        known = sorted(self._effects.values())
-        if known:
-            self._baseline_effect = known[int(len(known) * BASELINE_QUANTILE)]
+        effects = sorted(self._effects.values())
+        if effects:
+            self._baseline_effect = effects[
+                int(len(effects) * BASELINE_QUANTILE)
+            ]
 
 
 def _is_comparable(step: model.Step, _: commands.Group) -> bool:
     """Returns whether a run's time is a measure of its worker's speed."""
-    return step.tells_speed
+    return step.measures_worker_speed
