--- a/laburnumsill/daemon/configuration_decoding.py
+++ b/laburnumsill/daemon/configuration_decoding.py
@@ -1,4 +1,4 @@
-"""Versions of the configuration that this program can read."""
+"""Decoding of accepted configuration versions."""
 
 from collections import abc
 
@@ -9,36 +9,37 @@
 
 
 class Decoder:
-    """Decodes versions and remembers the newest that was of no use.
+    """Decodes versions and remembers the last one that failed to decode.
 
-    A newer program may accept what this one cannot read; the version in
-    force stays then, and the status shows this VM behind.
+    A newer release may accept a configuration that this release cannot
+    decode. The version in force then stays, and the status shows that this
+    VM is behind.
     """
 
     def __init__(self) -> None:
-        self._unusable: tuple[int, str] | None = None
+        self._undecodable: tuple[int, str] | None = None
 
-    def may_use(self, version: int, digest: str) -> bool:
-        """Returns whether a version is not known to be of no use."""
-        return (version, digest) != self._unusable
+    def may_decode(self, version: int, digest: str) -> bool:
+        """Returns whether a version is not known to be undecodable."""
+        return (version, digest) != self._undecodable
 
-    def models_of(
+    def decode(
         self,
         accepted: configuration_versions.AcceptedConfiguration,
-        decode: abc.Callable[[], configuration_models.Configuration],
+        decode_models: abc.Callable[[], configuration_models.Configuration],
     ) -> configuration_models.Configuration | None:
-        """Returns a version's models, None if this program has no use for it.
+        """Returns the models of a version, None if it cannot be decoded.
 
         Args:
             accepted: The version.
-            decode: Decodes it.
+            decode_models: Decodes its body.
         """
-        if not self.may_use(accepted.version, accepted.digest):
+        if not self.may_decode(accepted.version, accepted.digest):
             return None
         try:
-            return decode()
+            return decode_models()
         except errors.InvalidConfigurationError as error:
-            self._unusable = (accepted.version, accepted.digest)
+            self._undecodable = (accepted.version, accepted.digest)
             logs.event(
                 "configuration-unusable",
                 level="ERROR",
--- a/laburnumsill/daemon/configuration_download.py
+++ b/laburnumsill/daemon/configuration_download.py
@@ -1,4 +1,4 @@
-"""A document that is newer than the one in use, part by part."""
+"""Download of a configuration document in parts."""
 
 from laburnumsill.state import highest_version
 
@@ -6,14 +6,14 @@
 class Download:
     """Collects the parts of the newest document.
 
-    When a still newer one comes into force meanwhile, it begins again.
+    The download starts again if a newer document comes into force meanwhile.
 
     Examples:
         >>> held = highest_version.HighestVersion()
         >>> packed = highest_version.pack(b"a = 1")
         >>> _ = held.put(highest_version.PutDocument(3, packed))
         >>> download = Download()
-        >>> download.take(held.part(download.next_query(-1)))
+        >>> download.add_part(held.part(download.next_query(-1)))
         b'a = 1'
     """
 
@@ -22,17 +22,17 @@
         self._packed = bytearray()
 
     def next_query(self, known_version: int) -> highest_version.PartQuery:
-        """Returns what to ask for next.
+        """Returns the query for the next part.
 
         Args:
-            known_version: The version that is here whole.
+            known_version: The version of the last complete document.
         """
         return highest_version.PartQuery(
             known_version, self._version, len(self._packed)
         )
 
-    def take(self, part: highest_version.Part) -> bytes | None:
-        """Adds a part; returns the document once it is whole."""
+    def add_part(self, part: highest_version.Part) -> bytes | None:
+        """Adds a part; returns the document once it is complete."""
         if part.version != self._version:
             self._version = part.version
             self._packed.clear()
--- a/laburnumsill/daemon/configuration_fetch.py
+++ b/laburnumsill/daemon/configuration_fetch.py
@@ -1,8 +1,8 @@
-"""Fetching what leads from one accepted configuration version to a newer.
+"""Fetching of a newer accepted configuration version.
 
-The differences are fetched where there are any, and each is checked by the
-digest of what it gives; the whole is fetched where there are none or where
-one does not fit.
+The differences to the newer version are fetched if there are any, and the
+result of each is checked by its digest. The whole version is fetched if there
+are no differences or one does not apply.
 """
 
 import dataclasses
@@ -15,71 +15,71 @@
 from laburnumsill.core import logs
 from laburnumsill.state import configuration_versions
 
-Ask = abc.Callable[
+Query = abc.Callable[
     [int], abc.Awaitable[configuration_versions.ConfigurationUpdate]
 ]
-"""Asks for what leads on from a version, 0 for the whole."""
+"""Queries the update since a version; 0 asks for the whole newest version."""
 
 Open = abc.Callable[
     [configuration_versions.AcceptedConfiguration],
     configuration_versions.OpenedVersion,
 ]
-"""Returns a version with its values."""
+"""Returns a version with its decoded document."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fetched:
-    """An answer; without `whole` and `reached` there is nothing newer.
+class FetchResult:
+    """The result of a fetch; `whole` and `patched` are None if none is newer.
 
     Attributes:
-        whole: A newer version.
-        reached: The newer version that `steps` led to.
-        steps: The steps to it.
+        whole: A newer version that was fetched whole.
+        patched: A newer version that was obtained by applying `steps`.
+        steps: The steps from the base version to `patched`.
     """
 
     whole: configuration_versions.AcceptedConfiguration | None = None
-    reached: configuration_versions.OpenedVersion | None = None
+    patched: configuration_versions.OpenedVersion | None = None
     steps: abc.Sequence[configuration_versions.VersionStep] = ()
 
 
 async def fetch(
-    ask: Ask,
+    query: Query,
     base: configuration_versions.AcceptedConfiguration | None,
     open_version: Open,
-) -> Fetched | None:
-    """Fetches what is newer than a version.
+) -> FetchResult | None:
+    """Fetches a version that is newer than `base`.
 
     Args:
-        ask: Asks whoever may have a newer one.
+        query: Queries the root group or a peer.
         base: The version in force here, None if there is none.
-        open_version: Opens it.
+        open_version: Decodes the document of `base`.
 
     Returns:
-        None if there was no answer.
+        The result, None if the query failed.
     """
     try:
-        update = await ask(base.version if base else 0)
+        update = await query(base.version if base else 0)
         if base is not None and update.steps:
-            reached = await _reached(base, update.steps, open_version)
-            if reached is not None:
-                return Fetched(reached=reached, steps=update.steps)
-            update = await ask(0)
+            patched = await _apply_steps(base, update.steps, open_version)
+            if patched is not None:
+                return FetchResult(patched=patched, steps=update.steps)
+            update = await query(0)
     except errors.LaburnumsillError as error:
         logs.event("configuration-fetch-failed", level="DEBUG", error=error)
         return None
-    return Fetched(whole=update.whole)
+    return FetchResult(whole=update.whole)
 
 
-async def _reached(
+async def _apply_steps(
     base: configuration_versions.AcceptedConfiguration,
     steps: abc.Iterable[configuration_versions.VersionStep],
     open_version: Open,
 ) -> configuration_versions.OpenedVersion | None:
-    """Returns what steps lead to from a version, None if they do not fit."""
+    """Returns the version after the steps, None if one does not apply."""
     try:
-        reached = open_version(base)
+        patched = open_version(base)
         for step in steps:
-            reached = reached.after(step)
+            patched = patched.after(step)
             await trio.lowlevel.checkpoint()
     except difference.UnfitDifferenceError as error:
         logs.event(
@@ -89,4 +89,4 @@
             error=error.detail,
         )
         return None
-    return reached
+    return patched
--- a/laburnumsill/daemon/configuration_file.py
+++ b/laburnumsill/daemon/configuration_file.py
@@ -1,10 +1,10 @@
-"""The version in force, kept on a VM's disk across restarts.
+"""File that stores the version in force on a VM's disk across restarts.
 
-The file is one accepted version in the codec's form behind its digest. It is
-replaced by write, sync, rename and sync of the folder, so that after a crash
-it holds the old version or the new one, whole. A damaged file is set aside:
-the VM then learns the version in force from the others, like one without a
-disk.
+The file holds the digest of one accepted version, followed by that version as
+the codec encodes it. It is replaced by write, sync, rename and sync of the
+folder, so that after a crash it holds either the old version or the new one
+completely. A damaged file is renamed, and the VM fetches the version in force
+from the others, like a VM without a disk.
 """
 
 import contextlib
@@ -23,7 +23,7 @@
 
 
 class ConfigurationFile:
-    """The file in one data folder."""
+    """File of the version in force in one data folder."""
 
     def __init__(self, data_folder: pathlib.Path) -> None:
         self._path = data_folder / FILE_NAME
@@ -32,21 +32,22 @@
         """Returns the version in the file, None if there is none.
 
         Raises:
-            errors.StorageError: The file cannot be read or set aside.
+            errors.StorageError: The file cannot be read, or it is damaged
+                and cannot be renamed.
         """
         try:
             raw = self._path.read_bytes()
-            # A process killed after a rename leaves a name that a loss of
-            # power would take back.
+            # A process killed between rename and sync leaves a directory
+            # entry that a power loss would revert.
             durable_files.sync_folder(self._path.parent)
         except FileNotFoundError:
             return None
         except OSError as failure:
-            raise self._failed("read", failure) from failure
+            raise self._storage_error("read", failure) from failure
         digest, _, body = raw.partition(_SEPARATOR)
         if digest.decode(errors="replace") == hashing.digest(body):
             with contextlib.suppress(codec.UndecodableMessageError):
-                return _checked(codec.decode(body))
+                return _as_accepted(codec.decode(body))
         self._set_aside()
         return None
 
@@ -56,15 +57,15 @@
         """Replaces the version in the file and syncs it.
 
         Raises:
-            errors.StorageError: It could not be synced; the process must
-                not go on, since a restart might bring an older version back.
+            errors.StorageError: The version could not be synced. The process
+                must end, since a restart might revert to an older version.
         """
         body = codec.encode(accepted)
         raw = hashing.digest(body).encode() + _SEPARATOR + body
         try:
             self._path.parent.mkdir(parents=True, exist_ok=True)
         except OSError as failure:
-            raise self._failed("write", failure) from failure
+            raise self._storage_error("write", failure) from failure
         durable_files.write_file(self._path, (raw,))
 
     def _set_aside(self) -> None:
@@ -73,13 +74,17 @@
         try:
             self._path.replace(aside)
         except OSError as failure:
-            raise self._failed("set aside", failure) from failure
+            raise self._storage_error("set aside", failure) from failure
 
-    def _failed(self, what: str, failure: OSError) -> errors.StorageError:
-        return errors.StorageError(f"cannot {what} {self._path}: {failure}")
+    def _storage_error(
+        self, action: str, failure: OSError
+    ) -> errors.StorageError:
+        return errors.StorageError(f"cannot {action} {self._path}: {failure}")
 
 
-def _checked(message: object) -> configuration_versions.AcceptedConfiguration:
+def _as_accepted(
+    message: object,
+) -> configuration_versions.AcceptedConfiguration:
     if isinstance(message, configuration_versions.AcceptedConfiguration):
         return message
     raise codec.UndecodableMessageError(f"a {type(message).__name__}")
--- a/laburnumsill/daemon/configuration_lease.py
+++ b/laburnumsill/daemon/configuration_lease.py
@@ -1,9 +1,9 @@
 """The configuration in force on a VM without replicated state.
 
-It is asked for again and again. Each answer was confirmed by a quorum after
-it was asked for, so the configuration was the newest at some point since
-then; a VM that gets no answer stops using it well before a key that was
-taken away must have stopped working.
+The VM polls the core for the configuration. A quorum confirms that the answer
+was the newest at some time, which is the start of a lease. A VM that gets no
+confirmation stops using its configuration well before a revoked key must have
+stopped working.
 """
 
 import typing
@@ -20,37 +20,38 @@
 from laburnumsill.state import highest_version
 from laburnumsill.wire import backoff
 
-ASK_EVERY_S = 0.4
-"""A new version must be in force within 2 s, and cut-off is to be noticed."""
+POLL_INTERVAL_S = 0.4
+"""A new version must be in force within 2 s, and the loss of the core must be
+detected."""
 
-ASK_AGAIN_S = 0.15
-"""First pause after a question without an answer; it grows to `ASK_EVERY_S`."""
+INITIAL_BACKOFF_S = 0.15
+"""Backoff after a failed query; it grows up to `POLL_INTERVAL_S`."""
 
-ANSWER_WITHIN_S = 0.9
-"""Three VMs can be asked in turn, and readiness lasts for two such rounds."""
+QUERY_TIMEOUT_S = 0.9
+"""Allows queries of three VMs in turn; readiness lasts for two timeouts."""
 
-FRESH_S = 2.0
-"""A VM is ready while its last confirmation is not older than this."""
+READY_MAX_AGE_S = 2.0
+"""Maximum age of the last confirmation at which a VM is ready."""
 
-REFUSE_WITHIN_S = 1.0
-"""A call may be refused for what the configuration lacks while the last
-confirmation is not older than this: two rounds of asking, and half of the
-2 s within which a version must be in force."""
+REFUSAL_MAX_AGE_S = 1.0
+"""Maximum age of the last confirmation at which a call may be refused because
+the configuration lacks a name or key: two polls, and half of the 2 s within
+which a version must be in force."""
 
 KEY_LEASE_SHARE = 0.7
-"""Share of the time in which a key must be revoked that the configuration is
-used without a confirmation; the rest covers a request already under way."""
+"""Duration of the lease as a share of the time within which a revoked key must
+stop working; the rest covers a request already in progress."""
 
 Decode = abc.Callable[[bytes], site.SiteConfiguration]
 
 
 class ConfigurationLease:
-    """Keeps the newest configuration and knows how fresh it is.
+    """Holds the newest configuration and the time of its last confirmation.
 
     Args:
-        source: Answers with the newest document.
-        decode: Reads a document; those in force are always valid.
-        key_revoked_ms: A key that was taken away works no longer than this.
+        source: Source of the newest document.
+        decode: Decodes a document; documents in force are always valid.
+        key_revoked_ms: Time within which a revoked key must stop working.
         clock: The clock of this process.
     """
 
@@ -69,31 +70,34 @@
         self._download = configuration_download.Download()
         self._newest_version = highest_version.NO_VERSION
         self._confirmed_at = float("-inf")
-        self._lost = False
-        self._pauses = backoff.Backoff(ASK_AGAIN_S, ASK_EVERY_S)
+        self._core_lost = False
+        self._backoff = backoff.Backoff(INITIAL_BACKOFF_S, POLL_INTERVAL_S)
 
     @property
     def current(self) -> site.SiteConfiguration | None:
-        """The configuration in force; None without a valid lease."""
+        """The configuration in force, None without a valid lease."""
         if self._clock.monotonic() - self._confirmed_at > self._lease_s:
             return None
         return self._current
 
     @property
     def fresh(self) -> bool:
-        """Whether it was confirmed lately."""
-        return self._current is not None and self._age_s() <= FRESH_S
+        """Whether the last confirmation is at most `READY_MAX_AGE_S` old."""
+        return self._current is not None and self._age_s() <= READY_MAX_AGE_S
 
     @property
     def may_refuse(self) -> bool:
-        """Whether what is missing here is certainly not in a newer version."""
+        """Whether calls may be refused for lacking names or keys.
+
+        A newer version, which may have them, is then neither known nor likely.
+        """
         behind = self._newest_version > self._current_version()
-        return not behind and self._age_s() <= REFUSE_WITHIN_S
+        return not behind and self._age_s() <= REFUSAL_MAX_AGE_S
 
     async def run(self) -> typing.NoReturn:
-        """Keeps asking until cancelled."""
+        """Polls until cancelled."""
         while True:
-            pause_s = await self._ask()
+            pause_s = await self._poll()
             await trio.sleep(pause_s)
 
     def _age_s(self) -> float:
@@ -104,29 +108,29 @@
             return highest_version.NO_VERSION
         return self._current.version
 
-    async def _ask(self) -> float:
-        """Asks once; returns how long to wait before the next question."""
-        asked_at = self._clock.monotonic()
+    async def _poll(self) -> float:
+        """Queries once; returns the pause before the next query."""
+        queried_at = self._clock.monotonic()
         query = self._download.next_query(self._current_version())
         try:
-            answer = await self._source.ask(query, asked_at + ANSWER_WITHIN_S)
+            answer = await self._source.ask(query, queried_at + QUERY_TIMEOUT_S)
         except errors.LaburnumsillError as error:
-            self._note_lost(error)
-            return self._pauses.next()
-        self._note_regained()
+            self._record_failure(error)
+            return self._backoff.next()
+        self._record_success()
         part = answer.part
-        self._take(part)
+        self._add_part(part)
         self._newest_version = max(self._newest_version, answer.newest_version)
         if part.version != self._current_version() and part.packed:
             return 0.0
         if self._newest_version <= self._current_version():
-            confirmed_at = asked_at + answer.confirmed_after_s
+            confirmed_at = queried_at + answer.confirmed_after_s
             self._confirmed_at = max(self._confirmed_at, confirmed_at)
-        return ASK_EVERY_S
+        return POLL_INTERVAL_S
 
-    def _take(self, part: highest_version.Part) -> None:
-        """Takes a part; brings the document into force once it is whole."""
-        document = self._download.take(part)
+    def _add_part(self, part: highest_version.Part) -> None:
+        """Adds a part; puts the document in force once it is complete."""
+        document = self._download.add_part(part)
         if document is None or part.version <= self._current_version():
             return
         self._current = self._decode(document)
@@ -137,15 +141,15 @@
             packed_bytes=part.size,
         )
 
-    def _note_lost(self, error: errors.LaburnumsillError) -> None:
-        if not self._lost:
+    def _record_failure(self, error: errors.LaburnumsillError) -> None:
+        if not self._core_lost:
             logs.event(
                 "core-lost", "WARNING", reason=error.slug, detail=error.detail
             )
-        self._lost = True
+        self._core_lost = True
 
-    def _note_regained(self) -> None:
-        if self._lost:
+    def _record_success(self) -> None:
+        if self._core_lost:
             logs.event("core-regained")
-        self._lost = False
-        self._pauses.reset()
+        self._core_lost = False
+        self._backoff.reset()
--- a/laburnumsill/daemon/configuration_messages.py
+++ b/laburnumsill/daemon/configuration_messages.py
@@ -1,4 +1,4 @@
-"""What VMs say to each other about the configuration in force."""
+"""Messages between VMs about the configuration in force."""
 
 import dataclasses
 
@@ -8,7 +8,7 @@
 @codec.register("configuration.in-force")
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForceNotice:
-    """Tells the version in force on a VM."""
+    """Notice of the version in force on a VM."""
 
     vm: str
     version: int
@@ -18,17 +18,17 @@
 @codec.register("configuration.read-in-force")
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadInForce:
-    """Asks a VM for its `InForceNotice`."""
+    """Request for the `InForceNotice` of a VM."""
 
 
 @codec.register("configuration.fetch")
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchInForce:
-    """Asks a VM for what leads to the version in force on it.
+    """Request for an update to the version in force on a VM.
 
     Attributes:
-        vm: The asker.
-        version: The version in force on the asker, 0 to get the whole.
+        vm: The requesting VM.
+        version: The version in force on it, 0 to get the whole version.
     """
 
     vm: str
--- a/laburnumsill/daemon/configuration_recipients.py
+++ b/laburnumsill/daemon/configuration_recipients.py
@@ -1,4 +1,4 @@
-"""Which VMs are told the version in force on this one."""
+"""Choice of the VMs that are notified of the version in force on this VM."""
 
 import collections
 from collections import abc
@@ -6,73 +6,76 @@
 from laburnumsill.core import hashing
 from laburnumsill.core import topology
 
-ALL_UP_TO = 8
-"""With up to so many other VMs all are told of each new version at once."""
+MAX_BROADCAST_PEERS = 8
+"""Number of other VMs up to which all are notified of a new version at once."""
 
-ROUND_VMS = 4
-"""How many VMs are told in one round."""
+VMS_PER_ROUND = 4
+"""Number of VMs that are notified in one round."""
 
 
 class Recipients:
-    """Chooses who is told of a new version, and who in each round.
+    """Chooses the VMs to notify of a new version and in each round.
 
     Explanation:
-        If each of n VMs told all others of each version, that would be
-        n * (n - 1) notices. Beyond `ALL_UP_TO` others a VM tells those of
-        its own failure domain, and one that follows the root group's leader
-        also the VM of each other domain that the version draws, which is
-        the one that fetches first, see `configuration_sources`. The leader,
-        which sends the version to all voters, is left out, so that others
-        are fetched from. The rounds cover whoever was missed.
+        If each of n VMs notified all others of each version, that would be
+        n * (n - 1) notices. With more than `MAX_BROADCAST_PEERS` others, a VM
+        notifies those of its own failure domain. A follower of the root
+        group also notifies one VM of each other domain, selected by
+        rendezvous hashing of the version: the one that fetches first, see
+        `configuration_sources`. The leader does not, since it already sends
+        the version to all voters; the VMs then fetch from its followers. The
+        rounds cover VMs that missed a notice.
 
     Args:
-        me: This VM.
+        local_vm: This VM.
         vms: All VMs.
     """
 
-    def __init__(self, me: topology.Vm, vms: abc.Iterable[topology.Vm]) -> None:
+    def __init__(
+        self, local_vm: topology.Vm, vms: abc.Iterable[topology.Vm]
+    ) -> None:
         self._others: list[str] = []
-        self._near: list[str] = []
-        self._far: dict[str, set[str]] = collections.defaultdict(set)
+        self._same_domain: list[str] = []
+        self._other_domains: dict[str, set[str]] = collections.defaultdict(set)
         for vm in vms:
-            if vm.vm_id == me.vm_id:
+            if vm.vm_id == local_vm.vm_id:
                 continue
             self._others.append(vm.vm_id)
-            if vm.domain == me.domain:
-                self._near.append(vm.vm_id)
+            if vm.domain == local_vm.domain:
+                self._same_domain.append(vm.vm_id)
             else:
-                self._far[vm.domain].add(vm.vm_id)
-        self._turn = 0
+                self._other_domains[vm.domain].add(vm.vm_id)
+        self._next_index = 0
 
-    def of_new(
-        self, version: int, reachable: abc.Set[str], follows_root: bool
+    def for_new_version(
+        self, version: int, reachable: abc.Set[str], is_root_follower: bool
     ) -> list[str]:
-        """Returns who is told at once of a version that came into force.
+        """Returns the VMs to notify at once of a version that came into force.
 
         Args:
             version: The version.
             reachable: The VMs that can be reached.
-            follows_root: Whether this VM has a replica of the root group that
-                does not lead it.
+            is_root_follower: Whether this VM has a replica of the root group
+                and is not its leader.
         """
-        if len(self._others) <= ALL_UP_TO:
+        if len(self._others) <= MAX_BROADCAST_PEERS:
             return self._others
-        if not follows_root:
-            return self._near
-        drawn = [
+        if not is_root_follower:
+            return self._same_domain
+        selected = [
             hashing.rendezvous(str(version), vms & reachable)
-            for vms in self._far.values()
+            for vms in self._other_domains.values()
             if vms & reachable
         ]
-        return self._near + drawn
+        return self._same_domain + selected
 
-    def of_round(self) -> list[str]:
-        """Returns who is told in the next round; each has its turn."""
-        count = min(ROUND_VMS, len(self._others))
+    def for_next_round(self) -> list[str]:
+        """Returns the VMs to notify in the next round, in round-robin order."""
+        count = min(VMS_PER_ROUND, len(self._others))
         chosen = [
-            self._others[(self._turn + offset) % len(self._others)]
+            self._others[(self._next_index + offset) % len(self._others)]
             for offset in range(count)
         ]
         if chosen:
-            self._turn = (self._turn + count) % len(self._others)
+            self._next_index = (self._next_index + count) % len(self._others)
         return chosen
--- a/laburnumsill/daemon/configuration_sharing.py
+++ b/laburnumsill/daemon/configuration_sharing.py
@@ -1,9 +1,9 @@
-"""The newest configuration, confirmed once for many entries.
+"""The newest configuration, with confirmations that many entries share.
 
-Each VM of the core answers the entries that turn to it from its own replica.
-What the replica cannot know, that its version is the newest, it asks the leader
-in rounds that all questions of a moment share: the leader's load grows with the
-VMs of the core and not with the entries.
+Each VM of the core answers the queries of entries from its own replica. The
+replica cannot know that its version is the newest, so the VM queries the leader
+for that. Concurrent queries of entries share one query of the leader, whose
+load therefore grows with the VMs of the core and not with the entries.
 """
 
 import abc
@@ -20,36 +20,37 @@
 from laburnumsill.daemon import core_choice
 from laburnumsill.state import highest_version
 
-SHARED_S = 0.2
-"""A confirmation is shared for so long. With the pause between two questions
-of an entry, 0.4 s, it is well within the second for which an entry may refuse
-what its configuration lacks."""
+CONFIRMATION_MAX_AGE_S = 0.2
+"""Maximum age at which a confirmation is shared. Together with an entry's poll
+interval, 0.4 s, it is well within the second for which an entry may refuse
+calls because its configuration lacks a name or key."""
 
-ROUND_WITHIN_S = 0.25
-"""Longest wait for the leader's answer."""
+LEADER_TIMEOUT_S = 0.25
+"""Timeout of a query of the leader."""
 
-ATTEMPT_S = 0.3
-"""Longest wait for one VM's answer; another one may know a leader."""
+CALL_TIMEOUT_S = 0.3
+"""Timeout of a query of one VM; another VM may know a leader."""
 
 
 @codec.register("configuration.question")
 class Question(msgspec.Struct, frozen=True):
-    """Asks for the newest document, or the next part of it."""
+    """Query for the newest document, or for the next part of it."""
 
     query: highest_version.PartQuery
 
 
 @codec.register("configuration.confirmed")
 class Confirmed(msgspec.Struct, frozen=True):
-    """What a VM of the core holds, and when that was certainly the newest.
+    """Answer of a VM of the core, with the time of its confirmation.
 
     Attributes:
-        part: Of the document that it holds.
-        newest_version: The newest version at the confirmed point.
-        confirmed_after_s: The confirmed point, in seconds after the question
-            came; negative where the confirmation is older. Counted from when
-            the question was sent it is the same point or an earlier one.
-        domain: The failure domain of the VM that answers.
+        part: A part of the document that the VM's replica has.
+        newest_version: The newest version at the time of the confirmation.
+        confirmed_after_s: The time of the confirmation, in seconds after the
+            VM received the question; negative if the confirmation is older.
+            Added to the time at which the question was sent, it gives the
+            same time or an earlier one.
+        domain: The failure domain of the answering VM.
     """
 
     part: highest_version.Part
@@ -58,36 +59,36 @@
     domain: str = ""
 
     @property
-    def behind(self) -> bool:
-        """Whether the VM lacks the newest version and cannot pass it on."""
+    def is_behind(self) -> bool:
+        """Whether the VM's replica lacks the newest version."""
         return self.part.version < self.newest_version
 
 
 class Source(abc.ABC):
-    """Where an entry has its configuration from."""
+    """Source of an entry's configuration."""
 
     @abc.abstractmethod
     async def ask(
         self, query: highest_version.PartQuery, deadline: float
     ) -> Confirmed:
-        """Asks once.
+        """Queries the newest document, or the next part of it.
 
         Raises:
             errors.LaburnumsillError: No answer came by the deadline.
         """
 
 
-class NearbyCore(Source):
-    """Asks one VM of the core, the others in turn where it cannot answer.
+class CoreSource(Source):
+    """Queries one VM of the core, and the others in turn if it fails.
 
-    The load that this is for: a VM has ended or gone silent, or knows no
-    leader yet, while another one already follows the next; or it votes no
-    more, so that its replica stays as it was while the leader goes on.
+    A VM may have ended or be unreachable, or it may not know a leader while
+    another VM already follows the next leader. A VM that has been removed
+    from the group answers from a replica that stays at an old version.
 
     Args:
         peers: The connections to the core.
-        vms: Returns the VMs of the core that are known.
-        choice: Says which is asked.
+        vms: Returns the known VMs of the core.
+        choice: Selects the next VM to query.
         clock: The clock of this process.
     """
 
@@ -106,37 +107,37 @@
     async def ask(
         self, query: highest_version.PartQuery, deadline: float
     ) -> Confirmed:
-        """Asks once, see the base class.
+        """Queries the VMs until one answers, see the base class.
 
-        Where all that answer are behind, one of their answers is returned: it
-        names the newest version.
+        If the replicas of all VMs that answer are behind, one of their answers
+        is returned, since it contains the newest version.
         """
         failure = errors.NoQuorumError("no VM of the core is known")
-        behind: Confirmed | None = None
+        outdated: Confirmed | None = None
         tried: set[str] = set()
         while (now := self._clock.monotonic()) < deadline:
-            left = [vm for vm in self._vms() if vm not in tried]
-            vm = self._choice.next(left, now)
+            untried = [vm for vm in self._vms() if vm not in tried]
+            vm = self._choice.next(untried, now)
             if vm is None:
                 break
             tried.add(vm)
-            until = min(deadline, now + ATTEMPT_S)
+            call_deadline = min(deadline, now + CALL_TIMEOUT_S)
             try:
-                answer = await self._ask_one(vm, query, until)
+                answer = await self._call(vm, query, call_deadline)
             except errors.LaburnumsillError as error:
                 failure = errors.NoQuorumError(f"{vm}: {error.detail}")
-                self._choice.failed(vm, self._clock.monotonic())
+                self._choice.record_failure(vm, self._clock.monotonic())
                 continue
-            if not answer.behind:
-                self._choice.answered(vm, answer.domain)
+            if not answer.is_behind:
+                self._choice.record_answer(vm, answer.domain)
                 return answer
-            self._choice.failed(vm, self._clock.monotonic())
-            behind = answer
-        if behind is not None:
-            return behind
+            self._choice.record_failure(vm, self._clock.monotonic())
+            outdated = answer
+        if outdated is not None:
+            return outdated
         raise failure
 
-    async def _ask_one(
+    async def _call(
         self, vm: str, query: highest_version.PartQuery, deadline: float
     ) -> Confirmed:
         answer = await self._peers.call(vm, Question(query), deadline)
@@ -144,12 +145,12 @@
 
 
 class SharedConfirmation:
-    """Answers entries' questions on a VM of the core.
+    """Answers questions of entries on a VM of the core.
 
     Args:
         group: The group whose state machine holds the document.
-        groups: Access to it.
-        peers: Where the questions come from.
+        groups: Access to the group.
+        peers: Connections on which the questions arrive.
         domain: The failure domain of this VM.
         clock: The clock of this process.
     """
@@ -166,7 +167,7 @@
         self._groups = groups
         self._domain = domain
         self._clock = clock
-        self._round = trio.Lock()
+        self._confirm_lock = trio.Lock()
         self._confirmed_at = float("-inf")
         self._newest_version = highest_version.NO_VERSION
         self._failed_at = float("-inf")
@@ -177,42 +178,42 @@
         """Answers a question.
 
         Raises:
-            errors.UnavailableError: There is no replica here.
+            errors.UnavailableError: This VM has no replica of the group.
             errors.LaburnumsillError: The leader did not confirm in time.
         """
-        came_at = self._clock.monotonic()
-        await self._confirm(self._held().held.version, came_at)
+        received_at = self._clock.monotonic()
+        await self._confirm(self._component().held.version, received_at)
         return Confirmed(
             self._part(question.query),
             self._newest_version,
-            self._confirmed_at - came_at,
+            self._confirmed_at - received_at,
             self._domain,
         )
 
     def _part(self, query: highest_version.PartQuery) -> highest_version.Part:
-        """Returns what comes next for the asker, who may be ahead of us."""
-        held = self._held()
-        if held.held.version < query.known_version:
-            return highest_version.Part(held.held.version)
-        return held.part(query)
+        """Returns the next part, an empty one if this replica is behind."""
+        component = self._component()
+        if component.held.version < query.known_version:
+            return highest_version.Part(component.held.version)
+        return component.part(query)
 
-    async def _confirm(self, held_version: int, came_at: float) -> None:
-        """Makes sure that there is a confirmation to share.
+    async def _confirm(self, replica_version: int, received_at: float) -> None:
+        """Queries the leader unless a confirmation can be shared.
 
         Raises:
-            errors.LaburnumsillError: A round that ended after the question
-                came has failed.
+            errors.LaburnumsillError: The query of the leader failed, or one
+                failed since the question was received.
         """
-        async with self._round:
+        async with self._confirm_lock:
             now = self._clock.monotonic()
-            if now - self._confirmed_at <= SHARED_S:
+            if now - self._confirmed_at <= CONFIRMATION_MAX_AGE_S:
                 return
-            if self._failed_at > came_at:
+            if self._failed_at > received_at:
                 raise errors.NoQuorumError(self._failure)
-            query = highest_version.PartQuery(held_version)
+            query = highest_version.PartQuery(replica_version)
             try:
                 part = await self._groups.query(
-                    self._group, query, now + ROUND_WITHIN_S
+                    self._group, query, now + LEADER_TIMEOUT_S
                 )
             except errors.LaburnumsillError as error:
                 self._failure = error.detail
@@ -221,11 +222,13 @@
             self._confirmed_at = now
             self._newest_version = part.version
 
-    def _held(self) -> highest_version.HighestVersion:
+    def _component(self) -> highest_version.HighestVersion:
         machine = self._groups.local(self._group)
         if machine is None:
-            raise errors.UnavailableError("no replica of the site is here")
-        held: highest_version.HighestVersion = machine.component(
+            raise errors.UnavailableError(
+                "this VM has no replica of the site's group"
+            )
+        component: highest_version.HighestVersion = machine.component(
             highest_version.HighestVersion.name
         )
-        return held
+        return component
--- a/laburnumsill/daemon/configuration_sync.py
+++ b/laburnumsill/daemon/configuration_sync.py
@@ -1,25 +1,29 @@
 """Brings the accepted configuration into force on this VM.
 
 Explanation:
-    A version that this VM hears of has been accepted: it comes from a local
-    replica's applied log, from a quorum of the root group, or from a peer
-    that has it in force. So any newer one is put in force at once, and an
-    older one never is. On a VM with a disk a version is synced before it is
-    in force, so that a restart does not go back behind it.
-
-    A VM tells others its version when it changes, all or those that fetch
-    it first, see `configuration_recipients`, and a few of them, in turn,
-    every second, which covers notices that were lost at a cost that does
-    not grow with the number of VMs. A VM that hears of a newer version
-    fetches the differences from its own to it from one that has it, checks
-    the digest after each, and fetches it whole where there are none.
-
-    Of a failure domain one VM at a time fetches from another domain, drawn
-    by the version; the others fetch from it. So a version crosses between
-    two domains once, and its source serves few VMs.
-
-    At the start a VM asks a quorum first. If none can be had in time it
-    takes the newest that its disk or its own failure domain's VMs know.
+    Every version that this VM receives is an accepted one: it comes from a
+    local replica's applied log, from a quorum of the root group, or from a
+    peer on which it is in force. A newer version is therefore put in force
+    at once, and an older one never is. A VM with a disk syncs a version
+    before putting it in force, so that a restart does not revert to an older
+    one.
+
+    When its version changes, a VM notifies the others: all of them, or those
+    that fetch the version first, see `configuration_recipients`. Every second
+    it also notifies a few VMs in round-robin order. This covers lost notices
+    at a cost that does not grow with the number of VMs. A VM that is notified
+    of a newer version fetches the differences from its own version to that
+    one from a VM that has it, and checks the digest after each; if there are
+    no differences, it fetches the whole version.
+
+    In each failure domain one VM, selected by rendezvous hashing of the
+    version, fetches from another domain, and the others fetch from that VM.
+    A version therefore crosses between two domains once, and its source
+    serves few VMs.
+
+    At startup a VM queries a quorum first. If no quorum answers in time, it
+    uses the newest version on its disk or on the VMs of its own failure
+    domain.
 """
 
 import contextlib
@@ -50,38 +54,40 @@
 from laburnumsill.state import configuration_versions
 
 POLL_S = 0.2
-"""Time between two looks at the local replica, whose snapshots are not
-observed."""
+"""Interval at which the local replica is polled. Observers of a replica are
+not called when it installs a snapshot."""
 
-TELL_S = 1.0
-"""Time between two rounds of telling some VMs the version in force."""
+NOTIFY_INTERVAL_S = 1.0
+"""Interval at which the next few VMs are notified of the version in force."""
 
 FETCH_TIMEOUT_S = 1.0
-"""Time that a peer has to answer with a version."""
+"""Timeout of a request for a version."""
 
 REFRESH_TIMEOUT_S = 1.0
-"""Time that a peer has to tell its version to a status."""
+"""Timeout of a request to a peer when the status is refreshed."""
 
-QUORUM_PREFERRED_S = 3.0
-"""Time at the start in which only a quorum's answer counts."""
+QUORUM_ONLY_S = 3.0
+"""Time at startup during which only a quorum is queried. Afterwards the VMs of
+the own failure domain are queried as well."""
 
 
 class ConfigurationSync(configuration_api.InForce):
     """Keeps the version in force on this VM up to date.
 
     Args:
-        me: This VM.
+        local_vm: This VM.
         vms: All VMs.
         groups: Access to the root group.
         peers: Access to the other VMs.
-        current: What holds the version in force.
-        data_folder: Where to keep it across restarts, None without a disk.
+        current: Holder of the version in force.
+        data_folder: Folder that stores the version across restarts, None on a
+            VM without a disk.
         clock: The clock.
     """
 
     def __init__(
         self,
-        me: topology.Vm,
+        local_vm: topology.Vm,
         vms: abc.Sequence[topology.Vm],
         groups: replication.Groups,
         peers: replication.Peers,
@@ -89,9 +95,9 @@
         data_folder: pathlib.Path | None,
         clock: clocks.Clock,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._vms = vms
-        self._recipients = configuration_recipients.Recipients(me, vms)
+        self._recipients = configuration_recipients.Recipients(local_vm, vms)
         self._groups = groups
         self._peers = peers
         self._current = current
@@ -110,10 +116,10 @@
         self._opened: configuration_versions.OpenedVersion | None = None
         self._steps = configuration_versions.Steps()
         self._decoder = configuration_decoding.Decoder()
-        self._said: dict[str, messages.InForceNotice] = {}
+        self._notices: dict[str, messages.InForceNotice] = {}
         self._observed: replication.StateMachine | None = None
-        self._sources = configuration_sources.Sources(me, vms, clock)
-        self._tell_at = 0.0
+        self._sources = configuration_sources.Sources(local_vm, vms, clock)
+        self._next_round_at = 0.0
         self._wake = trio.Event()
         self._ready = trio.Event()
         peers.on_notice(messages.InForceNotice, self._on_notice)
@@ -122,17 +128,17 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this VM knows what is in force, maybe that nothing is."""
+        """Whether this VM knows the version in force, or that there is none."""
         return self._ready.is_set()
 
     async def wait_ready(self) -> None:
-        """Waits until this VM knows what is in force."""
+        """Waits until `ready` is true."""
         await self._ready.wait()
 
     def offer(
         self, accepted: configuration_versions.AcceptedConfiguration
     ) -> None:
-        """Has an accepted version put in force soon, unless a newer one is."""
+        """Schedules an accepted version to be put in force if it is newer."""
         if accepted.version > self._current.version:
             self._offered = accepted
             self._wake.set()
@@ -140,7 +146,7 @@
     def kept(
         self, version: int
     ) -> configuration_versions.AcceptedConfiguration | None:
-        """Returns an accepted version if it is in force here."""
+        """Returns the accepted version `version` if it is in force here."""
         if self._accepted is not None and self._accepted.version == version:
             return self._accepted
         return None
@@ -148,16 +154,16 @@
     def _adopt(
         self, accepted: configuration_versions.AcceptedConfiguration
     ) -> None:
-        """Puts an accepted version in force unless a newer one is.
+        """Puts an accepted version in force if it is newer.
 
-        Only `run` and its tasks call this, so that a failed disk ends them.
+        Only `run` and its tasks call this, so that a disk failure ends them.
 
         Raises:
-            errors.StorageError: It could not be synced.
+            errors.StorageError: The version could not be synced.
         """
         if accepted.version <= self._current.version:
             return
-        models = self._decoder.models_of(
+        models = self._decoder.decode(
             accepted, lambda: canonical.decode(accepted.body)
         )
         if models is not None:
@@ -167,14 +173,16 @@
 
     def _adopt_opened(
         self,
-        reached: configuration_versions.OpenedVersion,
+        patched: configuration_versions.OpenedVersion,
         steps: abc.Sequence[configuration_versions.VersionStep],
     ) -> None:
-        """Does the same with a version that steps led to.
+        """Puts a version in force that was obtained by applying steps.
 
-        They lead to it from the version in force, maybe from an older one.
+        Args:
+            patched: The version after the steps.
+            steps: The steps, from the version in force or an older one.
         """
-        accepted = reached.accepted
+        accepted = patched.accepted
         before = self._current.versioned()
         version = self._current.version
         if accepted.version <= version:
@@ -183,15 +191,15 @@
         if before is None or len(changes) != accepted.version - version:
             self._adopt(accepted)
             return
-        models = self._decoder.models_of(
+        models = self._decoder.decode(
             accepted,
             lambda: changed.decode(
-                before.configuration, reached.document, changes
+                before.configuration, patched.document, changes
             ),
         )
         if models is not None:
             self._put(accepted, models)
-            self._opened = reached
+            self._opened = patched
             for step in steps:
                 self._steps.add(step)
 
@@ -214,34 +222,34 @@
             digest=accepted.digest,
             operator=accepted.operator,
         )
-        self._tell(
-            self._recipients.of_new(
+        self._notify(
+            self._recipients.for_new_version(
                 accepted.version,
                 self._peers.reachable(),
-                self._follows_root(),
+                self._is_root_follower(),
             )
         )
 
-    def _follows_root(self) -> bool:
-        """Returns whether this VM has a root replica that does not lead."""
+    def _is_root_follower(self) -> bool:
+        """Returns whether this VM has a root replica and is not the leader."""
         has_replica = self._groups.local(ids.ROOT_GROUP) is not None
         return has_replica and not self._groups.leads(ids.ROOT_GROUP)
 
     def status(self) -> list[configuration_api.VmInForce]:
-        """Returns what each VM last said is in force there."""
-        reachable = self._peers.reachable() | {self._me.vm_id}
+        """Returns the version in force on each VM by its last notice."""
+        reachable = self._peers.reachable() | {self._local_vm.vm_id}
         return [self._status_of(vm, reachable) for vm in self._vms]
 
     async def refresh(self) -> None:
-        """Asks the reachable VMs that are behind as far as known here."""
-        notices = self._said.values()
+        """Queries the reachable VMs whose last notice is missing or old."""
+        notices = self._notices.values()
         newest = max(
-            [self._current.version, *(said.version for said in notices)]
+            [self._current.version, *(notice.version for notice in notices)]
         )
         async with trio.open_nursery() as nursery:
-            for vm in self._peers.reachable() - {self._me.vm_id}:
-                said = self._said.get(vm)
-                if said is None or said.version < newest:
+            for vm in self._peers.reachable() - {self._local_vm.vm_id}:
+                notice = self._notices.get(vm)
+                if notice is None or notice.version < newest:
                     nursery.start_soon(self._refresh_from, vm)
 
     async def _refresh_from(self, vm: str) -> None:
@@ -267,68 +275,68 @@
             errors.StorageError: A version could not be synced.
         """
         if self._file is not None:
-            kept = self._file.read()
-            if kept is not None:
-                self._adopt(kept)
+            stored = self._file.read()
+            if stored is not None:
+                self._adopt(stored)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._start_up)
             nursery.start_soon(self._follow)
 
     async def _start_up(self) -> None:
-        """Learns what is in force; a quorum's answer is preferred."""
-        alone_from = self._clock.monotonic() + QUORUM_PREFERRED_S
-        while not await self._ask_quorum():
-            if self._clock.monotonic() >= alone_from:
-                await self._ask_domain()
+        """Determines the version in force, preferably from a quorum."""
+        quorum_only_until = self._clock.monotonic() + QUORUM_ONLY_S
+        while not await self._fetch_from_quorum():
+            if self._clock.monotonic() >= quorum_only_until:
+                await self._fetch_from_domain()
                 if self._current.version:
                     break
             await trio.sleep(POLL_S)
         self._ready.set()
         logs.event("configuration-known", version=self._current.version)
 
-    async def _ask_quorum(self) -> bool:
-        """Returns whether a quorum of the root group told what is accepted."""
-        return await self._update_by(self._ask_groups)
+    async def _fetch_from_quorum(self) -> bool:
+        """Updates this VM from a quorum; returns whether it answered."""
+        return await self._update_from(self._query_root_group)
 
-    async def _ask_domain(self) -> None:
-        """Takes the newest version of all VMs of this VM's own domain."""
+    async def _fetch_from_domain(self) -> None:
+        """Updates this VM from all other VMs of its failure domain."""
         async with trio.open_nursery() as nursery:
             for vm in self._vms:
-                if vm.domain == self._me.domain and vm != self._me:
+                if vm.domain == self._local_vm.domain and vm != self._local_vm:
                     nursery.start_soon(self._fetch_from, vm.vm_id)
 
     async def _follow(self) -> None:
         while True:
             self._wake = trio.Event()
-            self._take_offered()
-            self._look_at_replica()
+            self._adopt_offered()
+            self._adopt_replicated()
             await self._fetch_newer()
-            self._tell_in_turn()
+            self._notify_next()
             with trio.move_on_after(POLL_S):
                 await self._wake.wait()
 
-    def _take_offered(self) -> None:
+    def _adopt_offered(self) -> None:
         offered, self._offered = self._offered, None
         if offered is None:
             return
         base = self._accepted
         if offered.step is not None and base is not None:
             with contextlib.suppress(difference.UnfitDifferenceError):
-                reached = self._open(base).after(offered.step)
-                self._adopt_opened(reached, [offered.step])
+                patched = self._open(base).after(offered.step)
+                self._adopt_opened(patched, [offered.step])
                 return
         self._adopt(offered)
 
     def _open(
         self, accepted: configuration_versions.AcceptedConfiguration
     ) -> configuration_versions.OpenedVersion:
-        """Returns a version with its values, which are kept for the newest."""
+        """Returns a version with its decoded document, which is cached."""
         if self._opened is None or self._opened.accepted is not accepted:
             self._opened = configuration_versions.opened(accepted)
         return self._opened
 
-    def _look_at_replica(self) -> None:
-        """Offers the newest version in this VM's root replica, if any."""
+    def _adopt_replicated(self) -> None:
+        """Adopts the newest version in this VM's root replica, if any."""
         machine = self._groups.local(ids.ROOT_GROUP)
         if machine is None:
             return
@@ -351,16 +359,18 @@
             self._wake.set()
 
     async def _fetch_newer(self) -> None:
-        """Fetches a version that another VM said is in force there."""
+        """Fetches the newest version that another VM has in force, if newer."""
         newer = [
-            said
-            for said in self._said.values()
-            if said.version > self._current.version
-            and self._decoder.may_use(said.version, said.digest)
+            notice
+            for notice in self._notices.values()
+            if notice.version > self._current.version
+            and self._decoder.may_decode(notice.version, notice.digest)
         ]
         if newer:
-            newest = max(said.version for said in newer)
-            sources = {said.vm for said in newer if said.version == newest}
+            newest = max(notice.version for notice in newer)
+            sources = {
+                notice.vm for notice in newer if notice.version == newest
+            }
             source = self._sources.choose(
                 newest,
                 self._current.version,
@@ -371,44 +381,44 @@
                 await self._fetch_from(source)
 
     async def _fetch_from(self, vm: str) -> None:
-        async def ask(
+        async def query(
             version: int,
         ) -> configuration_versions.ConfigurationUpdate:
-            return await self._ask_peer(vm, version)
+            return await self._query_peer(vm, version)
 
-        await self._update_by(ask)
+        await self._update_from(query)
 
-    async def _update_by(self, ask: configuration_fetch.Ask) -> bool:
-        """Fetches what is newer, by differences and else whole.
+    async def _update_from(self, query: configuration_fetch.Query) -> bool:
+        """Fetches a newer version, by differences or whole, and adopts it.
 
         Returns:
-            Whether there was an answer.
+            Whether the query was answered.
 
         Raises:
-            errors.StorageError: This VM could not sync what it got.
+            errors.StorageError: The fetched version could not be synced.
         """
         fetched = await configuration_fetch.fetch(
-            ask, self._accepted, self._open
+            query, self._accepted, self._open
         )
         if fetched is None:
             return False
-        if fetched.reached is not None:
-            self._adopt_opened(fetched.reached, fetched.steps)
+        if fetched.patched is not None:
+            self._adopt_opened(fetched.patched, fetched.steps)
         elif fetched.whole is not None:
             self._adopt(fetched.whole)
         return True
 
-    async def _ask_peer(
+    async def _query_peer(
         self, vm: str, version: int
     ) -> configuration_versions.ConfigurationUpdate:
         deadline = self._clock.monotonic() + FETCH_TIMEOUT_S
-        request = messages.FetchInForce(self._me.vm_id, version)
+        request = messages.FetchInForce(self._local_vm.vm_id, version)
         update: configuration_versions.ConfigurationUpdate = (
             await self._peers.call(vm, request, deadline)
         )
         return update
 
-    async def _ask_groups(
+    async def _query_root_group(
         self, version: int
     ) -> configuration_versions.ConfigurationUpdate:
         deadline = self._clock.monotonic() + FETCH_TIMEOUT_S
@@ -419,25 +429,25 @@
         )
         return update
 
-    def _tell_in_turn(self) -> None:
-        """Tells the next few VMs once a round is due."""
+    def _notify_next(self) -> None:
+        """Notifies the next few VMs if `NOTIFY_INTERVAL_S` has passed."""
         now = self._clock.monotonic()
-        if now >= self._tell_at:
-            self._tell_at = now + TELL_S
-            self._tell(self._recipients.of_round())
+        if now >= self._next_round_at:
+            self._next_round_at = now + NOTIFY_INTERVAL_S
+            self._notify(self._recipients.for_next_round())
 
-    def _tell(self, vms: abc.Iterable[str]) -> None:
+    def _notify(self, vms: abc.Iterable[str]) -> None:
         notice = self._notice()
         for vm in vms:
             self._peers.notify(vm, notice)
 
     def _notice(self) -> messages.InForceNotice:
         return messages.InForceNotice(
-            self._me.vm_id, self._current.version, self._digest()
+            self._local_vm.vm_id, self._current.version, self._digest()
         )
 
     def _on_notice(self, notice: messages.InForceNotice) -> None:
-        self._said[notice.vm] = notice
+        self._notices[notice.vm] = notice
         if notice.version > self._current.version:
             self._wake.set()
         same = notice.version == self._current.version
@@ -469,16 +479,16 @@
     def _status_of(
         self, vm: topology.Vm, reachable: abc.Set[str]
     ) -> configuration_api.VmInForce:
-        if vm == self._me:
-            said = self._notice()
+        if vm == self._local_vm:
+            notice = self._notice()
         else:
-            said = self._said.get(
+            notice = self._notices.get(
                 vm.vm_id, messages.InForceNotice(vm.vm_id, 0, "")
             )
         return configuration_api.VmInForce(
             vm.vm_id,
             vm.domain,
             vm.vm_id in reachable,
-            said.version,
-            said.digest,
+            notice.version,
+            notice.digest,
         )
--- a/laburnumsill/daemon/entry_role.py
+++ b/laburnumsill/daemon/entry_role.py
@@ -36,7 +36,7 @@
             lambda: self._directory.vms,
         )
         self._lease = configuration_lease.ConfigurationLease(
-            configuration_sharing.NearbyCore(
+            configuration_sharing.CoreSource(
                 self._network,
                 lambda: self._directory.vms,
                 core_choice.CoreChoice(self._vm.vm_id, settings.failure_domain),
--- a/laburnumsill/daemon/tests/test_configuration_file.py
+++ b/laburnumsill/daemon/tests/test_configuration_file.py
@@ -1,10 +1,10 @@
-"""The file of the version in force, when the power is lost.
+"""Power loss and the file of the version in force.
 
 A process that is killed between the rename of a new file and the sync of its
-folder leaves a name that only the operating system's cache holds. A later
-process reads the new version there, and a loss of power would bring the old
-one back. The daemon writes what it has read again before it acts on it; what
-`read` returns is durable by itself all the same.
+folder leaves a directory entry that is only in the operating system's cache.
+A later process reads the new version there, and a power loss would revert to
+the old one. The daemon writes the version again before it acts on it, but what
+`read` returns must be durable even without that.
 """
 
 import contextlib
@@ -21,7 +21,7 @@
 
 
 @pytest.mark.parametrize("calls", CALLS)
-def test_a_version_that_a_restart_read_outlives_a_loss_of_power(calls):
+def test_version_read_after_a_restart_survives_power_loss(calls):
     for seed in SEEDS:
         site = test_configuration_sync.Site()
         with simulated_disk.simulated() as disk:
--- a/laburnumsill/daemon/tests/test_configuration_lease.py
+++ b/laburnumsill/daemon/tests/test_configuration_lease.py
@@ -1,3 +1,5 @@
+"""Freshness of an entry's configuration lease, also on slow links."""
+
 import random
 
 import trio
@@ -16,11 +18,11 @@
 
 REVOKED_MS = 5_000
 LINK_BYTES_PER_S = 250_000
-"""Of the slowest entry VMs of the users."""
+"""Bandwidth of the slowest link of an entry VM."""
 
 
 class SlowGroups(local_groups.LocalGroups):
-    """Answers after a while, or not at all."""
+    """Groups that answer with a delay, or not at all."""
 
     def __init__(self, held):
         super().__init__(
@@ -28,10 +30,10 @@
         )
         self.delay_s = 0.01
         self.has_slow_link = False
-        self.gone = False
+        self.is_gone = False
 
     async def query(self, group, query, deadline):
-        if self.gone:
+        if self.is_gone:
             await trio.sleep(deadline - trio.current_time())
             raise errors.NoQuorumError("gone")
         await trio.sleep(self.delay_s)
@@ -45,7 +47,7 @@
 
 
 class GroupSource(configuration_sharing.Source):
-    """Asks the group itself, as a VM of the core does."""
+    """Source that queries the group directly, as a VM of the core does."""
 
     def __init__(self, groups):
         self._groups = groups
@@ -80,7 +82,7 @@
     held.put(highest_version.PutDocument(version, packed))
 
 
-def test_a_new_version_is_in_force_in_time():
+def test_a_new_version_is_in_force_within_half_a_second():
     async def script(held, groups, lease):
         await trio.sleep(1.0)
         assert lease.current is None and not lease.fresh
@@ -92,29 +94,29 @@
     play(script)
 
 
-def test_without_the_core_it_ends_well_before_a_key_must_be_gone():
+def test_lease_ends_without_the_core_before_the_revocation_limit():
     async def script(held, groups, lease):
         put(held, 1)
         await trio.sleep(1.0)
-        groups.gone = True
+        groups.is_gone = True
         cut_at = trio.current_time()
         while lease.current is not None:  # noqa: ASYNC110
             await trio.sleep(0.01)
-        lasted_s = trio.current_time() - cut_at
-        assert 2.5 < lasted_s < 0.8 * REVOKED_MS / 1000
+        elapsed_s = trio.current_time() - cut_at
+        assert 2.5 < elapsed_s < 0.8 * REVOKED_MS / 1000
         assert not lease.fresh
-        groups.gone = False
+        groups.is_gone = False
         await trio.sleep(1.5)
         assert lease.current.version == 1 and lease.fresh
 
     play(script)
 
 
-def test_an_answer_counts_from_when_it_was_asked_for():
+def test_lease_starts_when_the_query_is_sent():
     async def script(held, groups, lease):
         put(held, 1)
         await trio.sleep(1.0)
-        groups.delay_s = 0.7  # a version may be accepted meanwhile
+        groups.delay_s = 0.7  # a version may be accepted during the query
         await trio.sleep(5.0)
         age_s = trio.current_time() - lease._confirmed_at
         assert age_s >= 0.7
@@ -122,8 +124,12 @@
     play(script)
 
 
-def test_a_large_document_comes_over_a_slow_link_in_time():
-    """On the users' grown site 1,400 more queues never reached the entries."""
+def test_a_large_document_is_downloaded_over_a_slow_link():
+    """Guards against documents that exceed the timeout of a call.
+
+    On a large site a configuration with 1,400 more queues did not reach the
+    entries.
+    """
 
     async def script(held, groups, lease):
         groups.has_slow_link = True
@@ -137,7 +143,7 @@
     play(script)
 
 
-def test_a_document_that_is_replaced_on_its_way_is_begun_anew():
+def test_download_restarts_when_a_newer_document_replaces_it():
     async def script(held, groups, lease):
         groups.has_slow_link = True
         put(held, 1)
@@ -151,7 +157,7 @@
     play(script)
 
 
-def test_nothing_is_refused_for_good_while_a_newer_version_is_on_its_way():
+def test_calls_may_not_be_refused_during_a_download():
     async def script(held, groups, lease):
         groups.has_slow_link = True
         put(held, 1)
@@ -164,11 +170,11 @@
     play(script)
 
 
-def test_nothing_is_refused_for_good_long_after_the_last_confirmation():
+def test_calls_may_not_be_refused_after_an_old_confirmation():
     async def script(held, groups, lease):
         put(held, 1)
         await trio.sleep(1.0)
-        groups.gone = True
+        groups.is_gone = True
         await trio.sleep(1.5)
         assert lease.current.version == 1 and not lease.may_refuse
 
--- a/laburnumsill/daemon/tests/test_configuration_sharing.py
+++ b/laburnumsill/daemon/tests/test_configuration_sharing.py
@@ -1,4 +1,4 @@
-"""Many entries that ask at once, and what the leader has to answer."""
+"""Configuration queries of entries and the leader queries they cause."""
 
 import pytest
 import trio
@@ -18,7 +18,7 @@
 
 
 class Peers:
-    """Hands the questions of entries to a VM of the core."""
+    """Delivers questions of entries to a VM of the core."""
 
     def __init__(self):
         self.handlers = {}
@@ -35,31 +35,31 @@
 
 
 class Leader(local_groups.LocalGroups):
-    """Counts what the leader is asked, and may lose its lead."""
+    """Groups that count queries of the leader and can be without a leader."""
 
-    def __init__(self, newest, held):
+    def __init__(self, newest, replica):
         super().__init__({"site": replication.StateMachine(newest)})
-        self._replica = replication.StateMachine(held)
-        self.asked = 0
-        self.lost = False
-        self.takes_s = 0.01
+        self._replica = replication.StateMachine(replica)
+        self.queries = 0
+        self.is_lost = False
+        self.delay_s = 0.01
 
     def local(self, group):
         return self._replica
 
     async def query(self, group, query, deadline):
-        self.asked += 1
-        if self.lost:
+        self.queries += 1
+        if self.is_lost:
             await trio.sleep_until(deadline)
-            raise errors.NoQuorumError("nobody leads")
-        await trio.sleep(self.takes_s)
+            raise errors.NoQuorumError("no leader")
+        await trio.sleep(self.delay_s)
         return await super().query(group, query, deadline)
 
 
-class PeersOf:
-    """Hands the questions of an entry to the VM that it asks.
+class CorePeers:
+    """Delivers questions of an entry to the VM that it names.
 
-    The one that stands by is in the entry's own failure domain.
+    The VM `standby` is in the entry's own failure domain.
     """
 
     def __init__(self, **leaders):
@@ -81,18 +81,18 @@
 class Core:
     def __init__(self, replica_is_behind=False):
         self.newest = highest_version.HighestVersion()
-        held = self.newest
+        replica = self.newest
         if replica_is_behind:
-            held = highest_version.HighestVersion()
-        self.held = held
-        self.leader = Leader(self.newest, held)
+            replica = highest_version.HighestVersion()
+        self.replica = replica
+        self.leader = Leader(self.newest, replica)
         self.peers = Peers()
         self.sharing = configuration_sharing.SharedConfirmation(
             "site", self.leader, self.peers, "north", trio_clock.TrioClock()
         )
         self.put(1)
         if replica_is_behind:
-            self.put(1, self.held)
+            self.put(1, self.replica)
 
     def put(self, version, where=None):
         packed = highest_version.pack(b"%d" % version)
@@ -104,7 +104,7 @@
     trio.run(script, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def ask_in_step(core, entries, seconds):
+async def ask_periodically(core, entries, seconds):
     async def ask():
         while trio.current_time() < ends_at:
             await core.sharing.answer(QUESTION)
@@ -116,19 +116,19 @@
             nursery.start_soon(ask)
 
 
-def test_the_leader_is_asked_no_more_often_for_many_entries():
+def test_leader_queries_do_not_grow_with_the_entries():
     async def script():
         asked = []
         for entries in (10, 100):
             core = Core()
-            await ask_in_step(core, entries, 10.0)
-            asked.append(core.leader.asked)
+            await ask_periodically(core, entries, 10.0)
+            asked.append(core.leader.queries)
         assert asked[0] == asked[1] <= 10.0 / 0.4 + 2
 
     play(script)
 
 
-def test_the_confirmed_point_is_never_later_than_the_leader_knew():
+def test_confirmation_time_is_not_after_the_leader_query():
     async def script():
         core = Core()
         for pause_s in (0.0, 0.05, 0.1, 0.19, 0.3):
@@ -136,14 +136,17 @@
             sent_at = trio.current_time()
             answer = await core.sharing.answer(QUESTION)
             confirmed_at = sent_at + answer.confirmed_after_s
-            # A version that is accepted after this point must not count.
-            assert confirmed_at <= trio.current_time() - core.leader.takes_s
-            assert confirmed_at >= sent_at - configuration_sharing.SHARED_S
+            # The confirmation must not cover versions accepted later.
+            assert confirmed_at <= trio.current_time() - core.leader.delay_s
+            assert (
+                confirmed_at
+                >= sent_at - configuration_sharing.CONFIRMATION_MAX_AGE_S
+            )
 
     play(script)
 
 
-def test_a_replica_that_is_behind_says_which_version_is_newest():
+def test_a_replica_that_is_behind_reports_the_newest_version():
     async def script():
         core = Core(replica_is_behind=True)
         core.put(2)
@@ -156,10 +159,10 @@
     play(script)
 
 
-def test_questions_of_one_moment_fail_together_while_nobody_leads():
+def test_concurrent_questions_fail_together_without_a_leader():
     async def script():
         core = Core()
-        core.leader.lost = True
+        core.leader.is_lost = True
         failures = []
 
         async def ask():
@@ -170,26 +173,26 @@
         async with trio.open_nursery() as nursery:
             for _ in range(20):
                 nursery.start_soon(ask)
-        assert core.leader.asked == 1
-        limit_s = configuration_sharing.ROUND_WITHIN_S
+        assert core.leader.queries == 1
+        limit_s = configuration_sharing.LEADER_TIMEOUT_S
         assert max(failures) == pytest.approx(limit_s, abs=0.01)
-        core.leader.lost = False
+        core.leader.is_lost = False
         await core.sharing.answer(QUESTION)
 
     play(script)
 
 
-def test_an_entry_turns_to_another_vm_where_one_does_not_answer():
+def test_an_entry_queries_another_vm_if_one_does_not_answer():
     async def script():
         core = Core()
         choice = core_choice.CoreChoice("entry", "north")
-        source = configuration_sharing.NearbyCore(
+        source = configuration_sharing.CoreSource(
             core.peers, lambda: ("a", "b", "c"), choice, trio_clock.TrioClock()
         )
         now = trio.current_time
         first = choice.next(("a", "b", "c"), now())
         core.peers.gone.add(first)
-        for _ in range(2):  # the second time it is known to be gone
+        for _ in range(2):  # the second query skips the failed VM
             answer = await source.ask(QUESTION.query, now() + 0.9)
             assert answer.newest_version == 1
         assert now() < 0.4
@@ -201,14 +204,14 @@
 
 
 @pytest.mark.parametrize("lost_s", [1.0 + 0.13 * n for n in range(12)])
-def test_an_entry_is_fresh_again_soon_after_the_next_leader(lost_s):
-    """The load: the leader's VM is gone, and for a while nobody leads."""
+def test_an_entry_is_fresh_again_soon_after_an_election(lost_s):
+    """The leader's VM fails, and there is no leader for a while."""
 
     async def script():
         core = Core()
         choice = core_choice.CoreChoice("entry", "north")
         clock = trio_clock.TrioClock()
-        source = configuration_sharing.NearbyCore(
+        source = configuration_sharing.CoreSource(
             core.peers, lambda: ("a", "b", "c"), choice, clock
         )
         lease = configuration_lease.ConfigurationLease(
@@ -222,9 +225,9 @@
             await trio.sleep(2.0)
             assert lease.may_refuse
             core.peers.gone.add(choice.next(("a", "b", "c"), 2.0))
-            core.leader.lost = True
+            core.leader.is_lost = True
             await trio.sleep(lost_s)
-            core.leader.lost = False
+            core.leader.is_lost = False
             await trio.sleep(1.0)
             assert lease.may_refuse
             nursery.cancel_scope.cancel()
@@ -232,20 +235,24 @@
     play(script)
 
 
-@pytest.mark.parametrize("held", [highest_version.NO_VERSION, 1])
-def test_an_entry_near_a_vm_that_stands_by_gets_each_new_version(held):
-    """A VM that votes no more, or never did, holds what it held then."""
+@pytest.mark.parametrize("standby_version", [highest_version.NO_VERSION, 1])
+def test_an_entry_whose_nearest_vm_is_no_voter_gets_new_versions(
+    standby_version,
+):
+    """The replica of a VM that is not a voter stays at its old version."""
 
     async def script():
         core = Core()
-        kept = highest_version.HighestVersion()
-        if held != highest_version.NO_VERSION:
-            core.put(held, kept)
-        peers = PeersOf(standby=Leader(core.newest, kept), voter=core.leader)
+        standby_replica = highest_version.HighestVersion()
+        if standby_version != highest_version.NO_VERSION:
+            core.put(standby_version, standby_replica)
+        peers = CorePeers(
+            standby=Leader(core.newest, standby_replica), voter=core.leader
+        )
         choice = core_choice.CoreChoice("entry", "north")
         clock = trio_clock.TrioClock()
         lease = configuration_lease.ConfigurationLease(
-            configuration_sharing.NearbyCore(
+            configuration_sharing.CoreSource(
                 peers, lambda: ("standby", "voter"), choice, clock
             ),
             lambda raw: site.SiteConfiguration(int(raw), (), (), ()),
@@ -266,29 +273,29 @@
     play(script)
 
 
-def test_where_all_vms_are_behind_an_entry_knows_that_there_is_more():
+def test_an_entry_knows_the_newest_version_if_all_vms_are_behind():
     async def script():
         core = Core()
         core.put(2)
-        kept = highest_version.HighestVersion()
-        core.put(1, kept)
-        source = configuration_sharing.NearbyCore(
-            PeersOf(standby=Leader(core.newest, kept)),
+        standby_replica = highest_version.HighestVersion()
+        core.put(1, standby_replica)
+        source = configuration_sharing.CoreSource(
+            CorePeers(standby=Leader(core.newest, standby_replica)),
             lambda: ("standby",),
             core_choice.CoreChoice("entry", "north"),
             trio_clock.TrioClock(),
         )
         answer = await source.ask(QUESTION.query, trio.current_time() + 0.9)
-        assert answer.behind
+        assert answer.is_behind
         assert (answer.part.version, answer.newest_version) == (1, 2)
 
     play(script)
 
 
-def test_without_a_known_vm_the_failure_has_a_type():
+def test_without_a_known_vm_the_query_fails_with_no_quorum():
     async def script():
         choice = core_choice.CoreChoice("entry", "north")
-        source = configuration_sharing.NearbyCore(
+        source = configuration_sharing.CoreSource(
             Peers(), lambda: (), choice, trio_clock.TrioClock()
         )
         with pytest.raises(errors.NoQuorumError):
@@ -297,7 +304,7 @@
     play(script)
 
 
-def test_entries_spread_over_vms_of_unknown_place():
+def test_entries_spread_over_vms_of_unknown_domain():
     vms = ("a", "b", "c", "d", "e")
     chosen = [
         core_choice.CoreChoice(f"entry-{n}", "north").next(vms, 0.0)
@@ -306,16 +313,16 @@
     assert min(chosen.count(vm) for vm in vms) >= 8
 
 
-def test_a_vm_that_fails_again_and_again_is_tried_ever_more_seldom():
+def test_backoff_grows_with_repeated_failures_of_a_vm():
     choice = core_choice.CoreChoice("entry", "north")
-    choice.answered("a", "north")
-    choice.answered("b", "south")
+    choice.record_answer("a", "north")
+    choice.record_answer("b", "south")
     now, tries = 0.0, []
     while now < 60.0:
         if choice.next(("a", "b"), now) == "a":
             tries.append(now)
-            choice.failed("a", now)
+            choice.record_failure("a", now)
         now += 0.4
     assert len(tries) <= 8
-    choice.answered("a", "north")
+    choice.record_answer("a", "north")
     assert choice.next(("a", "b"), now) == "a"
--- a/laburnumsill/daemon/tests/test_configuration_sync.py
+++ b/laburnumsill/daemon/tests/test_configuration_sync.py
@@ -24,7 +24,7 @@
 
 
 class Peers(replication.Peers):
-    """Peers in one process; those in `cut` hear and say nothing."""
+    """Peers in one process; those in `cut` neither receive nor send."""
 
     def __init__(self, net, cut, me):
         self.me, self.net, self.cut = me, net, cut
@@ -118,7 +118,7 @@
                 assert {vm.version for vm in sync.status()} == {version}
 
 
-async def test_a_cut_off_vm_is_told_apart_and_catches_up(autojump_clock):
+async def test_status_shows_a_cut_off_vm_which_catches_up_later(autojump_clock):
     site = Site()
     parts = [site.add(number) for number in range(4)]
     async with running(*site.syncs.values()):
@@ -138,7 +138,7 @@
     assert site.history["vm3"] == [1, 301]
 
 
-async def test_restart_with_an_older_file_goes_on_upwards(
+async def test_restart_with_an_older_file_adopts_the_newest_version(
     tmp_path, autojump_clock
 ):
     site = Site()
@@ -178,7 +178,9 @@
     assert site.history["vm3"] == [1, 4]
 
 
-async def test_without_a_quorum_its_own_domain_tells(autojump_clock):
+async def test_without_a_quorum_vms_of_the_own_domain_are_queried(
+    autojump_clock,
+):
     site = Site()
     neighbour = site.add(3)[0]
     async with running(neighbour):
@@ -201,7 +203,7 @@
             assert holder.version == 1
 
 
-async def test_a_quorum_that_has_none_makes_ready(autojump_clock):
+async def test_vm_is_ready_if_a_quorum_has_no_version(autojump_clock):
     sync, holder, _ = Site().add(1)
     async with running(sync):
         with trio.fail_after(1):
@@ -209,7 +211,9 @@
         assert holder.version == 0
 
 
-async def test_a_version_that_cannot_be_read_leaves_the_old(autojump_clock):
+async def test_an_undecodable_version_leaves_the_old_one_in_force(
+    autojump_clock,
+):
     site = Site()
     sync, holder, _ = site.add(0)
     async with running(sync):
@@ -224,7 +228,7 @@
 
 
 @pytest.mark.parametrize("damage", ["cut", "flip", "other"])
-def test_a_damaged_file_is_set_aside(tmp_path, damage):
+def test_a_damaged_file_is_renamed(tmp_path, damage):
     file = configuration_file.ConfigurationFile(tmp_path)
     file.write(Site().push())
     path = tmp_path / configuration_file.FILE_NAME
@@ -265,7 +269,7 @@
         assert holder.version == 1
 
 
-async def test_an_older_answer_or_replica_takes_no_vm_back(
+async def test_older_answer_or_replica_does_not_revert_a_vm(
     tmp_path, autojump_clock
 ):
     ahead, behind = Site(), Site()
--- a/laburnumsill/daemon/tests/test_configuration_travel.py
+++ b/laburnumsill/daemon/tests/test_configuration_travel.py
@@ -1,3 +1,5 @@
+"""Fetching of new configuration versions between VMs and failure domains."""
+
 import pytest
 import trio
 
@@ -12,24 +14,24 @@
 
 
 class Net:
-    """A site whose fetches are noted as (asker, source, whole)."""
+    """A site that records each fetch as (requesting VM, source, whole)."""
 
     def __init__(self):
         self.site, self.fetches = support.Site(), []
         self.parts = [self.site.add(number) for number in range(4)]
         for name, peers in self.site.net.items():
-            self.note(name, peers)
+            self.record_fetches(name, peers)
 
-    def note(self, name, peers):
+    def record_fetches(self, name, peers):
         handler = peers.calls[configuration_messages.FetchInForce]
 
-        async def noting(request):
+        async def recording(request):
             answer = await handler(request)
             whole = answer.whole is not None
             self.fetches.append((request.vm, name, whole))
             return answer
 
-        peers.calls[configuration_messages.FetchInForce] = noting
+        peers.calls[configuration_messages.FetchInForce] = recording
 
     def push(self):
         log = self.site.log
@@ -63,7 +65,7 @@
     net.fetches.clear()
 
 
-async def test_differences_travel_and_cross_to_a_domain_once(autojump_clock):
+async def test_differences_are_fetched_across_domains_once(autojump_clock):
     net = Net()
     async with support.running(*net.site.syncs.values()):
         await settled(net)
@@ -72,16 +74,18 @@
             await trio.sleep(1)
             assert net.versions() == [version] * 4
         assert not any(whole for _, _, whole in net.fetches)
-        far = [
-            asker
-            for asker, source, _ in net.fetches
-            if asker in ("vm1", "vm3") and source in ("vm0", "vm2")
+        across_domains = [
+            vm
+            for vm, source, _ in net.fetches
+            if vm in ("vm1", "vm3") and source in ("vm0", "vm2")
         ]
-        assert len(far) == 10
+        assert len(across_domains) == 10
         assert len(net.fetches) == 30
 
 
-async def test_one_behind_catches_up_by_a_chain_or_whole(autojump_clock):
+async def test_vm_behind_fetches_few_missed_versions_as_steps_many_whole(
+    autojump_clock,
+):
     net = Net()
     async with support.running(*net.site.syncs.values()):
         await settled(net)
@@ -97,7 +101,7 @@
             assert [fetch[2] for fetch in net.fetches] == [whole]
 
 
-async def test_a_step_that_does_not_fit_is_fetched_whole(
+async def test_version_is_fetched_whole_if_a_step_does_not_apply(
     autojump_clock, monkeypatch
 ):
     net = Net()
@@ -129,7 +133,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 2, 3])
-def test_one_of_a_domain_goes_far_and_the_others_after_a_wait(count):
+def test_one_vm_of_a_domain_fetches_from_another_and_the_rest_wait(count):
     vms = [topology.Vm(f"n{n}", "near", "", "", False) for n in range(count)]
     vms.append(topology.Vm("far", "far", "", "", False))
     reachable = {vm.vm_id for vm in vms}
@@ -142,56 +146,60 @@
     assert chosen.count(None) == count - 1
     last = all_sources[-1]
     assert last.choose(7, 6, {"far", "n0"}, reachable) == "n0"
-    clock.now += configuration_sources.NEAR_S
+    clock.now += configuration_sources.DOMAIN_WAIT_S
     for one in all_sources:
         assert one.choose(8, 6, {"far"}, reachable) == "far"
     again = [one.choose(9, 8, {"far"}, reachable) for one in all_sources]
     assert again.count("far") == 1
 
 
-def of_new(vms, version, replicas, reachable):
-    """Returns who is told by whom of a version that all VMs get."""
-    told = {}
+def notified_vms(vms, version, replicas, reachable):
+    """Returns the VMs that each VM notifies of a new version."""
+    notified = {}
     for vm in vms:
         recipients = configuration_recipients.Recipients(vm, vms)
-        told[vm.vm_id] = recipients.of_new(
+        notified[vm.vm_id] = recipients.for_new_version(
             version, reachable, vm.vm_id in replicas
         )
-    return told
+    return notified
 
 
-def test_at_two_year_size_few_are_told_and_none_is_missed():
+def test_on_a_large_site_few_notices_reach_all_vms():
     vms = [
         topology.Vm(f"n{n:02}", f"d{n % 9}", "", "", False) for n in range(26)
     ]
     names = {vm.vm_id for vm in vms}
     lost = {"n06", "n15", "n22"}
     for version in range(1, 40):
-        told = of_new(vms, version, {"n00", "n01", "n02"}, names - lost)
-        assert sum(map(len, told.values())) < 26 * 4
+        notified = notified_vms(
+            vms, version, {"n00", "n01", "n02"}, names - lost
+        )
+        assert sum(map(len, notified.values())) < 26 * 4
         reached = {"n00", "n01", "n02"}
         while True:
-            more = {to for at in reached - lost for to in told[at]} - reached
+            more = {
+                to for at in reached - lost for to in notified[at]
+            } - reached
             if not more:
                 break
             reached |= more
         assert reached == names
     recipients = configuration_recipients.Recipients(vms[3], vms)
-    rounds = {vm for _ in range(7) for vm in recipients.of_round()}
+    rounds = {vm for _ in range(7) for vm in recipients.for_next_round()}
     assert rounds == names - {"n03"}
 
 
-def test_on_a_small_site_all_are_told():
-    told = of_new(support.VMS, 1, set(), set())
-    assert all(len(others) == 3 for others in told.values())
+def test_on_a_small_site_all_vms_are_notified():
+    notified = notified_vms(support.VMS, 1, set(), set())
+    assert all(len(others) == 3 for others in notified.values())
 
 
-async def test_a_status_asks_those_that_are_behind(autojump_clock):
+async def test_refresh_queries_vms_without_a_notice(autojump_clock):
     net = Net()
     async with support.running(*net.site.syncs.values()):
         await settled(net)
         sync = net.site.syncs["vm1"]
-        sync._said.clear()
+        sync._notices.clear()
         net.site.cut.add("vm3")
         assert {vm.version for vm in sync.status()} == {0, 1}
         await sync.refresh()
--- a/laburnumsill/daemon/tests/test_suspended_vm.py
+++ b/laburnumsill/daemon/tests/test_suspended_vm.py
@@ -1,4 +1,4 @@
-"""What a VM still believes when it wakes from a suspension."""
+"""Validity of a VM's configuration lease after a suspension of the VM."""
 
 import time
 
@@ -14,7 +14,7 @@
 
 
 class AnsweringOnce(configuration_sharing.Source):
-    """Confirms the configuration once, and never answers again."""
+    """Source that confirms the configuration once and then never answers."""
 
     def __init__(self):
         self._held = highest_version.HighestVersion()
@@ -34,7 +34,7 @@
 async def test_a_suspended_entry_does_not_use_keys_beyond_their_lease(
     monkeypatch,
 ):
-    """A key may have been taken away while its machine was suspended."""
+    """A key may have been revoked while the VM was suspended."""
     lease = configuration_lease.ConfigurationLease(
         AnsweringOnce(),
         lambda raw: site.SiteConfiguration(int(raw), (), (), ()),
