--- a/laburnumsill/daemon/assembly.py
+++ b/laburnumsill/daemon/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the parts of one daemon together and runs them until it is stopped."""
+"""Construction of a daemon from its components, startup and shutdown."""
 
 import signal
 import typing
@@ -38,22 +38,22 @@
 from laburnumsill.wire import network
 
 READINESS_NOTICE_S = 0.5
-"""Time between the loss of readiness and the refusal of new work, so that
-the balancer can stop sending it here."""
+"""Time between the loss of readiness and the refusal of new requests, in which
+the balancer stops sending requests to this VM."""
 
 DRAIN_TIMEOUT_S = 30.0
-"""Time that requests in flight have to end at a graceful shutdown."""
+"""Time in which requests in flight can complete at a graceful shutdown."""
 
 SERVER_GRACE_S = 5.0
 TRANSFER_TIMEOUT_S = 5.0
 
 
 class Daemon:
-    """One daemon: all parts of one VM in one trio loop."""
+    """One daemon: all components of one VM in one trio loop."""
 
     def __init__(self, loaded: settings.Settings) -> None:
         self._settings = loaded
-        self._me = loaded.me
+        self._local_vm = loaded.local_vm
         self._clock = clocks.SystemClock()
         self._metrics = metrics.Metrics()
         self._current = current_configuration.Current()
@@ -61,10 +61,10 @@
         self._stop_server = trio.Event()
         self._server_stopped = trio.Event()
         self._network = network.PeerNetwork(
-            self._me, loaded.dial, self._clock, self._metrics
+            self._local_vm, loaded.dial, self._clock, self._metrics
         )
         self._host = group_host.GroupHost(
-            self._me,
+            self._local_vm,
             loaded.vms,
             self._network,
             machines.machine_of,
@@ -72,9 +72,9 @@
             self._clock,
             self._metrics,
         )
-        self._make_up = make_up_sync.MakeUpSync(
+        self._membership_sync = make_up_sync.MembershipSync(
             loaded.vms,
-            self._me,
+            self._local_vm,
             self._host,
             self._network,
             self._host.set_make_up,
@@ -83,12 +83,12 @@
             loaded.vms,
             self._host,
             self._network,
-            self._make_up,
+            self._membership_sync,
             loaded.replace_after_s,
             self._clock,
         )
-        self._sync = configuration_sync.ConfigurationSync(
-            self._me,
+        self._configuration_sync = configuration_sync.ConfigurationSync(
+            self._local_vm,
             loaded.vms,
             self._host,
             self._network,
@@ -97,7 +97,7 @@
             self._clock,
         )
         self._members = table.MemberTable(
-            self._me,
+            self._local_vm,
             loaded.vms,
             self._network,
             self._current,
@@ -106,7 +106,7 @@
         )
         self._backend = backend.HttpBackendClient(self._clock, len(loaded.vms))
         self._router = router.RequestRouter(
-            self._me,
+            self._local_vm,
             self._host,
             self._members,
             self._current,
@@ -123,7 +123,7 @@
             self._metrics,
         )
         self._jobs = job_service.JobService(
-            self._me,
+            self._local_vm,
             self._host,
             self._members,
             self._current,
@@ -144,11 +144,11 @@
             for domain in topology.domains(loaded.vms)
         }
         self._usage = usage_relay.UsageRelay(
-            self._me.vm_id,
+            self._local_vm.vm_id,
             self._host,
             self._network,
             self._members,
-            lambda: self._make_up.voters,
+            lambda: self._membership_sync.voters,
             self._schedulers,
         )
 
@@ -156,24 +156,24 @@
         """Runs until SIGTERM or SIGINT, then shuts down gracefully."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._watch_signals)
-            for part in self._started_parts():
-                await nursery.start(part)
-            for part in self._background_parts():
-                nursery.start_soon(part)
+            for run in self._reporting_components():
+                await nursery.start(run)
+            for run in self._background_components():
+                nursery.start_soon(run)
             await nursery.start(self._serve)
             logs.event(
                 "daemon-started",
-                domain=self._me.domain,
-                client_address=self._me.client_address,
-                peer_address=self._me.peer_address,
+                domain=self._local_vm.domain,
+                client_address=self._local_vm.client_address,
+                peer_address=self._local_vm.peer_address,
             )
             await self._stopping.wait()
             await self._shut_down()
             nursery.cancel_scope.cancel()
         logs.event("daemon-stopped")
 
-    def _started_parts(self) -> list[typing.Any]:
-        """Returns the parts that tell when they have started, in order."""
+    def _reporting_components(self) -> list[typing.Any]:
+        """Returns the components that report their start, in start order."""
         return [
             self._network.run,
             self._host.run,
@@ -183,14 +183,14 @@
             *(part.run for part in self._schedulers.values()),
         ]
 
-    def _background_parts(
+    def _background_components(
         self,
     ) -> list[abc.Callable[[], abc.Awaitable[None]]]:
-        """Returns the parts that just run."""
+        """Returns the components that need no report of their start."""
         return [
-            self._make_up.run,
+            self._membership_sync.run,
             self._replacement.run,
-            self._sync.run,
+            self._configuration_sync.run,
         ]
 
     async def _serve(self, *, task_status: trio.TaskStatus[list[str]]) -> None:
@@ -208,22 +208,22 @@
     def _routes(self) -> list[routing.Route]:
         return [
             *operations_api.routes(
-                self._me.vm_id, self._metrics, self._not_ready_because
+                self._local_vm.vm_id, self._metrics, self._unready_reason
             ),
             *services_api.routes(self._router),
             *jobs_api.routes(self._jobs),
             *accounts_api.routes(self._host, self._current, self._clock),
             *members_api.routes(self._members, self._usage.relay),
             *configuration_api.routes(
-                self._host, self._current, self._sync, self._clock
+                self._host, self._current, self._configuration_sync, self._clock
             ),
             *groups_api.routes(self),
         ]
 
-    def _not_ready_because(self) -> str | None:
+    def _unready_reason(self) -> str | None:
         if self._stopping.is_set():
             return "shutting down"
-        if not self._sync.ready or self._current.get() is None:
+        if not self._configuration_sync.ready or self._current.get() is None:
             return "the configuration in force is not known yet"
         return None
 
@@ -232,13 +232,13 @@
         return self._host.status()
 
     async def transfer(self, group: str, vm: str | None) -> None:
-        """Hands a group's lead over, see `api.groups`."""
+        """Transfers a group's leadership, see `api.groups`."""
         deadline = self._clock.monotonic() + TRANSFER_TIMEOUT_S
         await self._host.transfer(group, vm, deadline)
 
     async def replace(self, group: str, old: str, new: str) -> None:
         """Replaces a voter of a group, see `api.groups`."""
-        await self._replacement.replace_now(group, old, new)
+        await self._replacement.replace(group, old, new)
 
     async def _watch_signals(self) -> None:
         with trio.open_signal_receiver(
@@ -249,9 +249,9 @@
                 self._stopping.set()
 
     async def _shut_down(self) -> None:
-        """Ends all work in flight: nothing new, leads handed over, then out.
+        """Transfers leaderships, drains requests and stops the server.
 
-        Readiness is lost already when this starts.
+        Readiness is already lost when this starts.
         """
         logs.event("shutdown-started")
         await trio.sleep(READINESS_NOTICE_S)
--- a/laburnumsill/daemon/core_role.py
+++ b/laburnumsill/daemon/core_role.py
@@ -1,4 +1,4 @@
-"""The daemon of a core VM: replicated state, scheduler, control."""
+"""The daemon of a core VM: replicated state, scheduler, control API."""
 
 import pathlib
 from collections import abc
@@ -26,40 +26,40 @@
 from laburnumsill.state import highest_version
 
 ELECTION_TIMEOUT_S = 0.8
-"""Longest time for which a silent leader is waited for: ten round trips to the
-furthest VM and a slow sync. Followers learn a shorter one."""
+"""Maximum election timeout: ten round trips to the furthest VM and a slow sync.
+Followers adapt a shorter one."""
 
 HEARTBEAT_S = 0.1
-"""A leader that ends is missed 0.3 to 0.6 s after its last heartbeat, which
-leaves an urgent job of 2.5 s a second of the 1.5 s that it has to spare."""
+"""The failure of a leader is detected 0.3 to 0.6 s after its last heartbeat. An
+urgent job of 2.5 s has a slack of 1.5 s, of which about a second remains."""
 
 SNAPSHOT_LOG_BYTES = 2 * 1024 * 1024
-"""The log since the last snapshot is held in memory, which is dear."""
+"""The log since the last snapshot is held in memory, which is scarce."""
 
-NOTICE_S = 0.3
-"""Time for the answers under way after the lead was handed over."""
+ANSWER_GRACE_S = 0.3
+"""Time to complete pending answers after the leadership was transferred."""
 
-HAND_OVER_WITHIN_S = 2.0
+TRANSFER_TIMEOUT_S = 2.0
 
 
 def site_machine(group: str) -> replication.StateMachine:
-    """Returns the empty state machine of the one group."""
+    """Returns an empty state machine of the site's group."""
     return replication.StateMachine(
         highest_version.HighestVersion(), ledger.BatchLedger()
     )
 
 
 class CoreDaemon(role.RoleDaemon):
-    """One replica of the site's state, and the scheduler where it leads."""
+    """Daemon with a replica of the site's state, and the leader's scheduler."""
 
     def __init__(
         self, path: pathlib.Path, settings: role_settings.RoleSettings
     ) -> None:
         super().__init__(path, settings)
-        first = settings.seed_vms if settings.founding else ()
+        initial_voters = settings.seed_vms if settings.founding else ()
         self._host = group_host.GroupHost(
             self._vm,
-            self._first_vms(settings),
+            self._initial_vms(settings),
             self._network,
             self._make_machine,
             pathlib.Path(settings.data_folder or "."),
@@ -67,10 +67,10 @@
             self._metrics,
             consensus_options.Options(ELECTION_TIMEOUT_S, HEARTBEAT_S),
             group_host.SnapshotLimits(log_bytes=SNAPSHOT_LOG_BYTES),
-            {role.SITE_GROUP: first},
+            {role.SITE_GROUP: initial_voters},
             voter_choice.VoterChoice(2 * settings.tolerated_losses + 1),
         )
-        self._set_make_up()
+        self._set_desired_voters()
         self._configuration: site.SiteConfiguration | None = None
         self._scheduler = scheduler.Scheduler(
             leading.Context(
@@ -104,7 +104,7 @@
             self._clock,
         )
 
-    def _me(self, settings: role_settings.RoleSettings) -> topology.Vm:
+    def _make_vm(self, settings: role_settings.RoleSettings) -> topology.Vm:
         return topology.Vm(
             settings.address,
             settings.failure_domain,
@@ -113,10 +113,10 @@
             True,
         )
 
-    def _first_vms(
+    def _initial_vms(
         self, settings: role_settings.RoleSettings
     ) -> list[topology.Vm]:
-        """Returns the VMs that found the group; each has a disk."""
+        """Returns the VMs that bootstrap the group; each has a disk."""
         vms = dict.fromkeys((*settings.seed_vms, settings.address))
         return [
             topology.Vm(vm, "", "", settings.peer_address(vm), True)
@@ -129,7 +129,7 @@
     async def _start(self, nursery: trio.Nursery) -> None:
         self._directory.answer_questions()
         await nursery.start(self._host.run)
-        nursery.start_soon(self._keep_make_up)
+        nursery.start_soon(self._run_desired_voters)
         nursery.start_soon(self._scheduler.run)
         listen = self._settings.listen
         control_port = int(listen.control.rpartition(":")[2])
@@ -147,18 +147,21 @@
             await nursery.start(self._serve, metrics, listen.metrics)
 
     async def _shut_down(self) -> None:
-        with trio.move_on_after(HAND_OVER_WITHIN_S):
+        with trio.move_on_after(TRANSFER_TIMEOUT_S):
             await self._host.hand_over()
-        await trio.sleep(NOTICE_S)
+        await trio.sleep(ANSWER_GRACE_S)
 
     def _make_machine(self, group: str) -> replication.StateMachine:
-        """Returns an empty state machine that the scheduler follows."""
+        """Returns an empty state machine that the scheduler observes."""
         machine = site_machine(group)
         self._scheduler.follow(machine)
         return machine
 
-    def _set_make_up(self) -> None:
-        """Tells the host where replicas may be; it asks them how to join."""
+    def _set_desired_voters(self) -> None:
+        """Passes the VMs that may have replicas to the host.
+
+        The host asks them to let it join the group.
+        """
         vms = dict.fromkeys(
             (
                 self._vm.vm_id,
@@ -169,9 +172,9 @@
         )
         self._host.set_make_up({role.SITE_GROUP: tuple(vms)})
 
-    async def _keep_make_up(self) -> None:
+    async def _run_desired_voters(self) -> None:
         while True:
-            self._set_make_up()
+            self._set_desired_voters()
             await trio.sleep(role.SETTINGS_POLL_S)
 
     def _guarantees(self) -> abc.Mapping[str, int]:
@@ -185,7 +188,7 @@
         return newest.pool_names if newest else frozenset()
 
     def _newest_configuration(self) -> site.SiteConfiguration | None:
-        """Returns the newest configuration that is known on this VM."""
+        """Returns the newest configuration in this VM's replica."""
         machine = self._host.local(role.SITE_GROUP)
         if machine is None:
             return None
@@ -193,8 +196,8 @@
             highest_version.HighestVersion.name
         )
         held = component.held
-        known = self._configuration
-        if held.packed and (known is None or known.version != held.version):
+        decoded = self._configuration
+        if held.packed and (decoded is None or decoded.version != held.version):
             document = highest_version.unpack(held.packed)
             self._configuration = decoding.configuration(document)
             logs.event("configuration-in-force", version=held.version)
--- a/laburnumsill/daemon/entry_role.py
+++ b/laburnumsill/daemon/entry_role.py
@@ -1,4 +1,4 @@
-"""The daemon of an entry VM: callers in front, the core behind."""
+"""The daemon of an entry VM, which forwards callers' requests to the core."""
 
 import pathlib
 
@@ -17,13 +17,14 @@
 from laburnumsill.platform import caller_app
 from laburnumsill.platform import decoding
 
-NOTICE_S = 2.6
-"""Time between the loss of readiness and the end: the balancer asks once a
-second and believes the second refusal, and a call takes up to a second."""
+READINESS_NOTICE_S = 2.6
+"""Time between the loss of readiness and the end of the process. The balancer
+probes once a second and stops sending calls after the second failed probe, and
+a call takes up to a second."""
 
 
 class EntryDaemon(role.RoleDaemon, caller_app.Front):
-    """Passes callers' calls to the core; keeps no state."""
+    """Daemon that forwards callers' requests to the core, without state."""
 
     def __init__(
         self, path: pathlib.Path, settings: role_settings.RoleSettings
@@ -60,15 +61,15 @@
 
     @property
     def may_refuse(self) -> bool:
-        """Whether the configuration is the newest, see `caller_app.Front`."""
+        """Whether calls may be refused, see `caller_app.Front`."""
         return self._lease.may_refuse
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here, see `caller_app.Front`."""
+        """Whether the balancer may send calls here, see `caller_app.Front`."""
         return self._lease.fresh and not self.closing
 
-    def _me(self, settings: role_settings.RoleSettings) -> topology.Vm:
+    def _make_vm(self, settings: role_settings.RoleSettings) -> topology.Vm:
         return topology.Vm(
             f"entry-{settings.address}", settings.failure_domain, "", "", False
         )
@@ -86,4 +87,4 @@
             await nursery.start(self._serve, app, listen.metrics)
 
     async def _shut_down(self) -> None:
-        await trio.sleep(NOTICE_S)
+        await trio.sleep(READINESS_NOTICE_S)
--- a/laburnumsill/daemon/main.py
+++ b/laburnumsill/daemon/main.py
@@ -15,7 +15,7 @@
 
 
 def main() -> None:
-    """Reads the settings and runs the daemon until it is told to stop."""
+    """Parses the arguments, runs the daemon and exits with its exit code."""
     parser = argparse.ArgumentParser(
         prog="laburnumsilld", description="One daemon of laburnumsill."
     )
@@ -30,13 +30,13 @@
 
 
 def run(settings_file: pathlib.Path) -> int:
-    """Runs one daemon and returns its exit code."""
+    """Runs one daemon with a settings file; returns the exit code."""
     try:
         loaded = settings.load(settings_file)
     except errors.LaburnumsillError as error:
         print(f"laburnumsilld: {error.detail}", file=sys.stderr)
         return running.EXIT_BAD_SETTINGS
-    logs.set_up(loaded.log_level, loaded.me.vm_id)
+    logs.set_up(loaded.log_level, loaded.local_vm.vm_id)
     return running.run(assembly.Daemon(loaded).run)
 
 
--- a/laburnumsill/daemon/make_up_sync.py
+++ b/laburnumsill/daemon/make_up_sync.py
@@ -1,4 +1,4 @@
-"""Brings the groups' make-up from the root group to every VM."""
+"""Distribution of the groups' memberships from the root group to every VM."""
 
 import dataclasses
 from collections import abc
@@ -12,74 +12,84 @@
 from laburnumsill.core import topology
 from laburnumsill.state import make_up
 
-INTERVAL_S = 1.0
-"""How often the root group's leader tells every VM the make-up."""
+BROADCAST_INTERVAL_S = 1.0
+"""Interval at which the root group's leader notifies all VMs."""
 
 
 @codec.register("make-up.notice")
 @dataclasses.dataclass(frozen=True, slots=True)
 class MakeUpNotice:
-    """The make-up, as the root group's leader has applied it."""
+    """The groups' memberships, as the root group's leader has applied them."""
 
     make_up: make_up.MakeUp
 
 
-class MakeUpSync:
-    """Follows the make-up; a VM without a root replica hears of it by notice.
+class MembershipSync:
+    """Keeps the groups' memberships on this VM up to date.
 
-    An older revision never replaces a newer one, so that late notices and
-    those of a leader that was deposed do no harm.
+    The leader of the root group reads them from its replica and sends them to
+    the other VMs. An older revision never replaces a newer one, so late
+    notices and those of a deposed leader have no effect.
+
+    Args:
+        vms: All VMs.
+        local_vm: This VM.
+        groups: Access to the root group.
+        peers: Access to the other VMs.
+        set_desired_voters: Sets the desired voters by group on this VM.
     """
 
     def __init__(
         self,
         vms: abc.Sequence[topology.Vm],
-        me: topology.Vm,
+        local_vm: topology.Vm,
         groups: replication.Groups,
         peers: replication.Peers,
-        set_make_up: abc.Callable[[abc.Mapping[str, abc.Sequence[str]]], None],
+        set_desired_voters: abc.Callable[
+            [abc.Mapping[str, abc.Sequence[str]]], None
+        ],
     ) -> None:
-        self._first = topology.first_groups(vms)
-        self._others = [vm.vm_id for vm in vms if vm.vm_id != me.vm_id]
+        self._initial_groups = topology.first_groups(vms)
+        self._others = [vm.vm_id for vm in vms if vm.vm_id != local_vm.vm_id]
         self._groups = groups
         self._peers = peers
-        self._set_make_up = set_make_up
-        self._present = make_up.MakeUp()
+        self._set_desired_voters = set_desired_voters
+        self._make_up = make_up.MakeUp()
         peers.on_notice(MakeUpNotice, self._on_notice)
 
     @property
     def voters(self) -> dict[str, list[str]]:
-        """The voters of every group, as far as this VM has heard."""
-        return self._present.over(self._first)
+        """The voters of every group, by the newest revision on this VM."""
+        return self._make_up.over(self._initial_groups)
 
     @property
     def revision(self) -> int:
-        """The newest revision that this VM has heard of."""
-        return self._present.revision
+        """The newest revision on this VM."""
+        return self._make_up.revision
 
     async def run(self) -> None:
-        """Spreads the make-up for as long as this VM leads the root group."""
+        """Broadcasts the memberships while this VM leads the root group."""
         while True:
             if self._groups.leads(ids.ROOT_GROUP):
-                self._spread()
-            await trio.sleep(INTERVAL_S)
+                self._broadcast()
+            await trio.sleep(BROADCAST_INTERVAL_S)
 
-    def _spread(self) -> None:
+    def _broadcast(self) -> None:
         machine = self._groups.local(ids.ROOT_GROUP)
         if machine is None:
             return
-        self._follow(machine.component("make-up").make_up)
-        if not self._present.revision:
+        self._update(machine.component("make-up").make_up)
+        if not self._make_up.revision:
             return
         for vm_id in self._others:
-            self._peers.notify(vm_id, MakeUpNotice(self._present))
+            self._peers.notify(vm_id, MakeUpNotice(self._make_up))
 
     def _on_notice(self, notice: MakeUpNotice) -> None:
-        self._follow(notice.make_up)
+        self._update(notice.make_up)
 
-    def _follow(self, newer: make_up.MakeUp) -> None:
-        if newer.revision <= self._present.revision:
+    def _update(self, newer: make_up.MakeUp) -> None:
+        if newer.revision <= self._make_up.revision:
             return
-        self._present = newer
+        self._make_up = newer
         logs.event("make-up-followed", revision=newer.revision)
-        self._set_make_up(self.voters)
+        self._set_desired_voters(self.voters)
--- a/laburnumsill/daemon/replacement.py
+++ b/laburnumsill/daemon/replacement.py
@@ -1,4 +1,4 @@
-"""Replaces VMs that are lost for good in the groups that they vote in."""
+"""Replacement of permanently lost VMs in the groups in which they vote."""
 
 import dataclasses
 from collections import abc
@@ -19,8 +19,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Change:
-    """One voter of one group to be replaced."""
+class VoterChange:
+    """Replacement of one voter of one group by another VM."""
 
     group: str
     old: str
@@ -33,23 +33,25 @@
     lost: str,
     reachable: abc.Set[str],
 ) -> str | None:
-    """Returns the VM that is to take the place of a lost voter, or None.
+    """Returns the VM that is to replace a lost voter, or None.
 
-    A VM of the lost one's failure domain goes first, so that the domain can
-    still go on alone; then one that has a disk.
+    VMs of the lost VM's failure domain are preferred, so that the domain can
+    still serve on its own; among these, VMs with a disk.
 
     Args:
         vms: All VMs.
-        voters: The group's present voters.
-        lost: The voter that is lost.
+        voters: The current voters of the group.
+        lost: The lost voter.
         reachable: The VMs that can be reached.
     """
     by_id = {vm.vm_id: vm for vm in vms}
-    home = by_id[lost].domain
+    lost_domain = by_id[lost].domain
     spares = [
         vm for vm in vms if vm.vm_id in reachable and vm.vm_id not in voters
     ]
-    spares.sort(key=lambda vm: (vm.domain != home, not vm.has_disk, vm.vm_id))
+    spares.sort(
+        key=lambda vm: (vm.domain != lost_domain, not vm.has_disk, vm.vm_id)
+    )
     return spares[0].vm_id if spares else None
 
 
@@ -59,32 +61,42 @@
     lost_deadlines: abc.Mapping[str, float],
     now: float,
 ) -> list[str]:
-    """Returns the VMs that count as lost for good.
+    """Returns the VMs that count as permanently lost.
 
-    A VM of a domain of which no VM can be reached is cut off rather than
-    lost: it may well serve its domain, and it is left alone.
+    If no VM of a domain can be reached, the domain is partitioned rather than
+    lost. Its VMs may still serve the domain and are not replaced.
 
     Args:
         vms: All VMs.
         reachable: The VMs that can be reached.
-        lost_deadlines: When each silent VM counts as lost; monotonic.
-        now: The present point.
+        lost_deadlines: Monotonic time at which each unreachable VM counts as
+            lost.
+        now: The current monotonic time.
     """
-    seen = {vm.domain for vm in vms if vm.vm_id in reachable}
+    reachable_domains = {vm.domain for vm in vms if vm.vm_id in reachable}
     return [
         vm.vm_id
         for vm in vms
         if vm.vm_id not in reachable
-        and vm.domain in seen
+        and vm.domain in reachable_domains
         and lost_deadlines.get(vm.vm_id, now + 1) <= now
     ]
 
 
 class Replacement:
-    """Watches the VMs while this one leads the root group.
+    """Replaces lost VMs while this VM leads the root group.
 
-    A VM that was silent until its deadline is replaced, one voter of each
-    group at a time; the groups' leaders carry the change out.
+    A VM that stays unreachable until its deadline is replaced in each group
+    in which it votes. The root group records the change, and the leader of
+    the group executes it.
+
+    Args:
+        vms: All VMs.
+        groups: Access to the root group.
+        peers: Access to the other VMs.
+        sync: The current voters of all groups.
+        replace_after_s: Time without contact after which a VM is replaced.
+        clock: The clock.
     """
 
     def __init__(
@@ -92,7 +104,7 @@
         vms: abc.Sequence[topology.Vm],
         groups: replication.Groups,
         peers: replication.Peers,
-        sync: make_up_sync.MakeUpSync,
+        sync: make_up_sync.MembershipSync,
         replace_after_s: float,
         clock: clocks.Clock,
     ) -> None:
@@ -105,49 +117,52 @@
         self._lost_deadlines: dict[str, float] = {}
 
     async def run(self) -> None:
-        """Checks for as long as the daemon runs."""
+        """Checks the VMs until cancelled."""
         while True:
             await trio.sleep(CHECK_INTERVAL_S)
             if not self._groups.leads(ids.ROOT_GROUP):
                 self._lost_deadlines.clear()
                 continue
             for change in self._due_changes():
-                await self.replace(change.group, change.old, change.new)
+                await self._try_replace(change.group, change.old, change.new)
 
-    async def replace(self, group: str, old: str, new: str) -> None:
-        """Records that `new` takes the place of `old`; failures are logged."""
+    async def _try_replace(self, group: str, old: str, new: str) -> None:
+        """Records that `new` replaces `old` in `group`; logs a failure."""
         try:
-            await self.replace_now(group, old, new)
+            await self.replace(group, old, new)
         except errors.LaburnumsillError as error:
             logs.event(
                 "replacement-failed", group=group, old=old, error=error.detail
             )
 
-    async def replace_now(self, group: str, old: str, new: str) -> None:
-        """Records that `new` takes the place of `old` in `group`.
+    async def replace(self, group: str, old: str, new: str) -> None:
+        """Records in the root group that `new` replaces `old` in `group`.
 
         Raises:
-            errors.UnknownNameError: No such group or VM, or `old` is no voter.
+            errors.UnknownNameError: `group` or `new` is unknown, or `old` is
+                not a voter of `group`.
             errors.LaburnumsillError: The root group refused the change.
         """
         voters = self._sync.voters.get(group)
         if voters is None:
-            raise errors.UnknownNameError(f"no group {group!r}")
+            raise errors.UnknownNameError(f"unknown group {group!r}")
         if old not in voters:
-            raise errors.UnknownNameError(f"{old!r} is no voter of {group!r}")
+            raise errors.UnknownNameError(
+                f"{old!r} is not a voter of {group!r}"
+            )
         if new not in {vm.vm_id for vm in self._vms}:
-            raise errors.UnknownNameError(f"no VM {new!r}")
-        changed = tuple(sorted({*voters, new} - {old}))
+            raise errors.UnknownNameError(f"unknown VM {new!r}")
+        new_voters = tuple(sorted({*voters, new} - {old}))
         logs.decision("replace", group=group, old=old, new=new)
         await self._groups.propose(
             ids.ROOT_GROUP,
             make_up.ChangeMakeUp(
-                group, tuple(sorted(voters)), changed, f"{old} is replaced"
+                group, tuple(sorted(voters)), new_voters, f"{old} is replaced"
             ),
             self._clock.monotonic() + CHANGE_TIMEOUT_S,
         )
 
-    def _due_changes(self) -> list[Change]:
+    def _due_changes(self) -> list[VoterChange]:
         now = self._clock.monotonic()
         reachable = self._peers.reachable()
         for vm in self._vms:
@@ -164,5 +179,5 @@
                     continue
                 new = choose_spare(self._vms, voters, old, reachable)
                 if new is not None:
-                    changes.append(Change(group, old, new))
+                    changes.append(VoterChange(group, old, new))
         return changes
--- a/laburnumsill/daemon/role.py
+++ b/laburnumsill/daemon/role.py
@@ -1,4 +1,4 @@
-"""What the daemons of all roles have in common: signals, settings, metrics."""
+"""Base class of the daemons of all roles: signals, settings, metrics."""
 
 import abc
 import pathlib
@@ -18,11 +18,12 @@
 from laburnumsill.wire import network as networks
 
 SITE_GROUP = "site"
-"""The one replicated group: configuration, jobs, workers. Today one ledger
-carries a whole site; docs/CAPACITY.md says when it does not any more."""
+"""The one replicated group: configuration, jobs, workers. One ledger is enough
+for a whole site up to the limits in docs/CAPACITY.md."""
 
 SETTINGS_POLL_S = 1.0
-"""How often the settings file is looked at: it may change without a signal."""
+"""Interval at which the settings file is polled, as it may change without a
+signal."""
 
 SERVER_GRACE_S = 1.0
 
@@ -32,8 +33,8 @@
 
     Args:
         path: The settings file, read again when it changes.
-        settings: What was read from it at the start.
-        on_demand: Whether connections to peers are made when they are needed.
+        settings: The settings read at startup.
+        on_demand: Whether connections to peers are opened only when needed.
     """
 
     def __init__(
@@ -48,7 +49,7 @@
         self._metrics = metrics_module.Metrics()
         self._stopping = trio.Event()
         self._stop_server = trio.Event()
-        self._vm = self._me(settings)
+        self._vm = self._make_vm(settings)
         self._network = networks.PeerNetwork(
             self._vm,
             {},
@@ -63,16 +64,18 @@
             settings.peer_address,
             self._core_members,
             self._clock,
-            directory.SELDOM_S if on_demand else directory.ASK_EVERY_S,
+            directory.MAX_POLL_INTERVAL_S
+            if on_demand
+            else directory.POLL_INTERVAL_S,
         )
 
     @property
     def closing(self) -> bool:
-        """Whether this daemon is about to end."""
+        """Whether this daemon is shutting down."""
         return self._stopping.is_set()
 
     def stop(self) -> None:
-        """Begins the graceful shutdown, as SIGTERM does."""
+        """Starts the graceful shutdown, as SIGTERM does."""
         self._stopping.set()
 
     async def run(
@@ -81,11 +84,11 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Runs until it is told to stop, then shuts down gracefully.
+        """Runs until `stop` or a signal, then shuts down gracefully.
 
         Args:
-            with_signals: Whether SIGTERM, SIGINT and SIGHUP are obeyed; a
-                process has only one that obeys them.
+            with_signals: Whether to handle SIGTERM, SIGINT and SIGHUP. Only
+                one daemon of a process may do so.
             task_status: Started once the daemon serves.
         """
         async with trio.open_nursery() as nursery:
@@ -112,7 +115,7 @@
         logs.event("daemon-stopped", name=self._settings.name)
 
     @abc.abstractmethod
-    def _me(self, settings: role_settings.RoleSettings) -> topology.Vm:
+    def _make_vm(self, settings: role_settings.RoleSettings) -> topology.Vm:
         """Returns this VM as its peers know it."""
 
     @abc.abstractmethod
@@ -121,11 +124,11 @@
 
     @abc.abstractmethod
     async def _start(self, nursery: trio.Nursery) -> None:
-        """Starts the parts of the role."""
+        """Starts the components of the role."""
 
     @abc.abstractmethod
     async def _shut_down(self) -> None:
-        """Ends all work in flight."""
+        """Completes the work in progress before the daemon ends."""
 
     async def _serve(
         self,
@@ -160,7 +163,7 @@
             self._reload()
 
     def _reload(self) -> None:
-        """Takes the settings file as it is now; a bad one changes nothing."""
+        """Applies a changed settings file; an invalid one is ignored."""
         try:
             loaded = self._settings_file.changed()
         except errors.InvalidConfigurationError as error:
--- a/laburnumsill/daemon/role_main.py
+++ b/laburnumsill/daemon/role_main.py
@@ -1,7 +1,7 @@
 """The program of one role: `python3 -m laburnumsill.daemon.role_main ROLE`.
 
-The settings file is named by the variable `LABURNUMSILL_NODE_FILE`, or by a
-second argument. Exit codes are those of `daemon.running`.
+The settings file is given by a second argument, or else by the environment
+variable `LABURNUMSILL_NODE_FILE`. The exit codes are those of `daemon.running`.
 """
 
 import gc
@@ -43,14 +43,14 @@
         return running.EXIT_BAD_SETTINGS
     logs.set_up_bounded(settings.log_level, settings.name, sys.stdout)
     main_task = _daemon(role, path, settings)
-    gc.freeze()  # modules stay until the end, so nothing looks at them again
+    gc.freeze()  # excludes the modules, which are never freed, from collections
     return running.run(main_task)
 
 
 def _daemon(
     role: str, path: pathlib.Path, settings: role_settings.RoleSettings
 ) -> abc.Callable[[], abc.Awaitable[None]]:
-    """Returns the coroutine function of a role, importing only its parts."""
+    """Returns the main coroutine function of a role; imports only that role."""
     if role == "entry":
         from laburnumsill.daemon import entry_role
 
--- a/laburnumsill/daemon/role_settings.py
+++ b/laburnumsill/daemon/role_settings.py
@@ -1,8 +1,8 @@
 """Settings of a daemon that runs one role of a site.
 
-A TOML file in the product's own names. The format is checked with msgspec
-instead of pydantic, since on the users' small VMs memory is what a daemon
-costs (docs/STYLE.md has the figures).
+The settings are a TOML file with the product's own names. It is validated with
+msgspec instead of pydantic, since memory is the main cost of a daemon on small
+VMs (docs/STYLE.md has the figures).
 """
 
 import pathlib
@@ -20,9 +20,9 @@
 Port = typing.Annotated[int, msgspec.Meta(ge=1, le=65_535)]
 Bound = typing.Annotated[int, msgspec.Meta(ge=0, le=2**53)]
 Text = typing.Annotated[str, msgspec.Meta(min_length=1)]
-Place = typing.Annotated[str, msgspec.Meta(pattern=r"^\S+:[0-9]{1,5}$")]
+HostPort = typing.Annotated[str, msgspec.Meta(pattern=r"^\S+:[0-9]{1,5}$")]
 """``host:port``."""
-PlaceOrNone = typing.Annotated[
+OptionalHostPort = typing.Annotated[
     str, msgspec.Meta(pattern=r"^(\S+:[0-9]{1,5})?$")
 ]
 
@@ -31,26 +31,26 @@
     """Addresses, ``host:port``, that a role listens on; "" for none.
 
     Attributes:
-        callers: Callers hand in jobs here.
-        readiness: The platform's balancer asks here.
-        control: Operators and workers.
-        metrics: Prometheus.
+        callers: For callers, which submit jobs.
+        readiness: For readiness probes of the platform's balancer.
+        control: For operators and workers.
+        metrics: For Prometheus.
     """
 
-    callers: PlaceOrNone = ""
-    readiness: PlaceOrNone = ""
-    control: PlaceOrNone = ""
-    metrics: PlaceOrNone = ""
+    callers: OptionalHostPort = ""
+    readiness: OptionalHostPort = ""
+    control: OptionalHostPort = ""
+    metrics: OptionalHostPort = ""
 
 
 class Bounds(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What the site's users were promised; all times in ms.
+    """Time limits that the site guarantees, in ms.
 
     Attributes:
-        longest_lease_ms: Workers grant no longer lease.
-        stop_grace_ms: Workers end a run within this when they are told to.
-        key_revoked_ms: A key that was taken away works no longer than this.
-        shutdown_ms: From SIGTERM to SIGKILL.
+        longest_lease_ms: Longest lease that a worker grants.
+        stop_grace_ms: Time within which a worker ends a run after a stop order.
+        key_revoked_ms: Time within which a revoked key must stop working.
+        shutdown_ms: Time between SIGTERM and SIGKILL.
     """
 
     longest_lease_ms: Bound = 10_000
@@ -63,26 +63,27 @@
     """Settings of one daemon.
 
     Attributes:
-        name: Of the VM, for people.
-        address: The VM's IP address; it is also its id among its peers.
-        failure_domain: Of the VM.
-        peer_port: Where the VMs of the core listen for their peers.
+        name: The name of the VM in logs.
+        address: The VM's IP address, which is also its id among its peers.
+        failure_domain: The failure domain of the VM.
+        peer_port: The port on which the VMs of the core listen for peers.
         seeds: Addresses of VMs of the core, ``host:port``; only the host
             matters, since all listen on the same `peer_port`.
         founding: Whether the site starts for the first time, with empty
             disks.
-        tolerated_losses: So many VMs of the core may be lost at a time.
-        data_folder: Where state is kept, None without a disk.
+        tolerated_losses: The number of VMs of the core that may be lost at
+            the same time.
+        data_folder: The folder for the state, None on a VM without a disk.
         log_level: A loguru level name.
         listen: The addresses listened on.
-        bounds: What was promised.
+        bounds: The guaranteed time limits.
     """
 
     name: str
     address: Text
     failure_domain: str
     peer_port: Port
-    seeds: tuple[Place, ...]
+    seeds: tuple[HostPort, ...]
     founding: bool = False
     tolerated_losses: Bound = 1
     data_folder: str | None = None
@@ -96,24 +97,25 @@
         return tuple(seed.rpartition(":")[0] for seed in self.seeds)
 
     def peer_address(self, vm: str) -> str:
-        """Returns where a VM of the core listens for its peers."""
+        """Returns the address on which a VM of the core listens for peers."""
         return f"{vm}:{self.peer_port}"
 
 
 def load(path: pathlib.Path) -> RoleSettings:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-        errors.InvalidConfigurationError: It can not be read or is invalid.
+        errors.InvalidConfigurationError: The file cannot be read or is
+            invalid.
     """
     return SettingsFile(path).load()
 
 
 class SettingsFile:
-    """A settings file that may change; its text is parsed once a change.
+    """A settings file that may change; it is parsed once after each change.
 
     Args:
-        path: Where it is.
+        path: The path of the file.
     """
 
     def __init__(self, path: pathlib.Path) -> None:
@@ -121,25 +123,27 @@
         self._text: bytes | None = None
 
     def changed(self) -> RoleSettings | None:
-        """Returns the settings if the file is not what was read last.
+        """Returns the settings if the file has changed since the last read.
 
         Raises:
-            errors.InvalidConfigurationError: It can not be read or is invalid.
+            errors.InvalidConfigurationError: The file cannot be read or is
+                invalid.
         """
         try:
             text = self._path.read_bytes()
         except OSError as error:
-            raise self._refused(error) from error
+            raise self._invalid(error) from error
         if text == self._text:
             return None
         self._text = text
         return self._parse(text)
 
     def load(self) -> RoleSettings:
-        """Reads and checks it anew.
+        """Reads and validates the file.
 
         Raises:
-            errors.InvalidConfigurationError: It can not be read or is invalid.
+            errors.InvalidConfigurationError: The file cannot be read or is
+                invalid.
         """
         self._text = None
         settings = self.changed()
@@ -151,11 +155,11 @@
             document = tomllib.loads(text.decode())
             return msgspec.convert(document, RoleSettings)
         except (
-            ValueError,  # also no UTF-8, no TOML, a number of too many digits
+            ValueError,  # invalid UTF-8, invalid TOML, too many digits
             RecursionError,
             msgspec.ValidationError,
         ) as error:
-            raise self._refused(error) from error
+            raise self._invalid(error) from error
 
-    def _refused(self, error: Exception) -> errors.InvalidConfigurationError:
+    def _invalid(self, error: Exception) -> errors.InvalidConfigurationError:
         return errors.InvalidConfigurationError(f"{self._path}: {error}")
--- a/laburnumsill/daemon/running.py
+++ b/laburnumsill/daemon/running.py
@@ -1,8 +1,7 @@
-"""Running a daemon's main task, and what its process ends with.
+"""Execution of a daemon's main task, and the exit codes of its process.
 
-Exit codes: 0 after a graceful shutdown, `EXIT_FAILED` after a failure that it
-must not go on from, such as a failed disk, `EXIT_BAD_SETTINGS` for bad
-settings or arguments.
+Exit codes: 0 after a graceful shutdown, `EXIT_FAILED` after a fatal failure,
+such as a disk failure, `EXIT_BAD_SETTINGS` for invalid settings or arguments.
 """
 
 from collections import abc
@@ -20,8 +19,8 @@
 def run(main: abc.Callable[[], abc.Awaitable[None]]) -> int:
     """Runs a daemon until it ends and returns the exit code.
 
-    A failure that is no `LaburnumsillError` is a fault of the program: it is
-    logged like the others and raised again.
+    An exception that is not a `LaburnumsillError` is a bug: it is logged like
+    the others and raised again.
     """
     try:
         trio.run(
@@ -44,7 +43,7 @@
 
 
 def _leaves(group: BaseExceptionGroup) -> list[BaseException]:
-    """Returns the exceptions in a group, however deep they lie."""
+    """Returns the exceptions in a group and its nested groups."""
     found: list[BaseException] = []
     for error in group.exceptions:
         if isinstance(error, BaseExceptionGroup):
--- a/laburnumsill/daemon/settings.py
+++ b/laburnumsill/daemon/settings.py
@@ -1,7 +1,8 @@
 """The settings of one daemon, read from its own TOML file.
 
-Settings say who this VM is and where the others are; they are never pushed.
-Paths in a settings file are relative to the file itself.
+Settings identify this VM and contain the addresses of all VMs. They are local,
+unlike the configuration, which is pushed to all VMs. Paths in a settings file
+are relative to the file itself.
 
 Examples:
     The file of one VM, which shares the list of VMs with the others::
@@ -23,10 +24,10 @@
 from laburnumsill.core import topology
 
 MAX_VMS = 64
-"""Most VMs that one system may have."""
+"""Maximum number of VMs in one system."""
 
 DEFAULT_REPLACE_AFTER_S = 600.0
-"""Silence after which a VM counts as lost for good, in seconds."""
+"""Time without contact after which a VM counts as permanently lost."""
 
 _MAX_PORT = 65_535
 
@@ -61,8 +62,8 @@
     Attributes:
         vm_id: Its name, unique in the list.
         domain: Its failure domain.
-        client_address: Where clients and the balancer reach it.
-        peer_address: Where the other VMs reach it.
+        client_address: Its address for clients and the balancer.
+        peer_address: Its address for the other VMs.
         disk: Whether it has a data folder.
     """
 
@@ -74,26 +75,26 @@
 
 
 class VmsFile(models.Model):
-    """The list of VMs, in a file of its own."""
+    """The list of VMs in a separate file."""
 
     vms: list[VmEntry] = pydantic.Field(min_length=1, max_length=MAX_VMS)
 
 
 class SettingsFile(models.Model):
-    """The settings file of one VM, as it is written.
+    """The settings file of one VM, as it is parsed.
 
     Attributes:
-        vm_id: Which entry of the list this VM is.
-        vms_file: The file with the list of VMs; or else `vms` gives it.
+        vm_id: The id of this VM in the list of VMs.
+        vms_file: The file with the list of VMs, unless `vms` contains it.
         vms: The list of VMs.
-        data_folder: Where state is kept; left out on a VM without a disk.
-        listen_address: Where to listen for clients if that is not the
-            client address in the list.
+        data_folder: The folder for the state, None on a VM without a disk.
+        listen_address: The address to listen on for clients if it differs
+            from the client address in the list.
         log_level: The lowest level of events that are logged.
-        replace_after_s: Silence after which a VM counts as lost for good
-            and its replicas are replaced, in seconds.
-        dial: Addresses to reach peers at, by VM, where they are not the
-            peer addresses in the list; tests lead them through a proxy.
+        replace_after_s: Time without contact, in seconds, after which a VM
+            counts as permanently lost and its replicas are replaced.
+        dial: Addresses to connect to peers by VM, if they differ from the
+            peer addresses in the list; tests route them through a proxy.
     """
 
     vm_id: models.Name
@@ -111,17 +112,17 @@
     """The settings of one VM, complete and checked.
 
     Attributes:
-        me: This VM.
-        vms: All VMs, this one too.
-        dial: The address to reach each other VM at, by VM.
-        listen_address: The address to listen for clients at.
-        data_folder: Where state is kept, None without a disk.
+        local_vm: This VM.
+        vms: All VMs, including this one.
+        dial: The address to connect to each other VM, by VM.
+        listen_address: The address to listen on for clients.
+        data_folder: The folder for the state, None on a VM without a disk.
         log_level: The lowest level of events that are logged.
-        replace_after_s: Silence after which a VM counts as lost for good, in
-            seconds.
+        replace_after_s: Time without contact, in seconds, after which a VM
+            counts as permanently lost.
     """
 
-    me: topology.Vm
+    local_vm: topology.Vm
     vms: list[topology.Vm]
     dial: dict[str, str]
     listen_address: str
@@ -140,37 +141,42 @@
     """
     path = pathlib.Path(path)
     tree = toml_files.read(path, InvalidSettingsError)
-    written = toml_files.validated(
+    parsed = toml_files.validated(
         SettingsFile, tree, path, InvalidSettingsError
     )
-    vms = [_vm(entry) for entry in _entries(written, path)]
-    me = _me(written, vms, path)
-    _check_dial(written, vms, path)
-    _check_disk(written, me, path)
-    folder = written.data_folder
+    vms = [_vm(entry) for entry in _entries(parsed, path)]
+    local_vm = _local_vm(parsed, vms, path)
+    _check_dial(parsed, vms, path)
+    _check_disk(parsed, local_vm, path)
+    folder = parsed.data_folder
     return Settings(
-        me=me,
+        local_vm=local_vm,
         vms=vms,
         dial={
-            vm.vm_id: written.dial.get(vm.vm_id, vm.peer_address)
+            vm.vm_id: parsed.dial.get(vm.vm_id, vm.peer_address)
             for vm in vms
-            if vm is not me
+            if vm is not local_vm
         },
-        listen_address=written.listen_address or me.client_address,
+        listen_address=parsed.listen_address or local_vm.client_address,
         data_folder=(path.parent / folder) if folder else None,
-        log_level=written.log_level,
-        replace_after_s=written.replace_after_s,
+        log_level=parsed.log_level,
+        replace_after_s=parsed.replace_after_s,
     )
 
 
-def _entries(written: SettingsFile, path: pathlib.Path) -> list[VmEntry]:
-    """Returns the list of VMs from either place; ids and ports differ."""
-    if (written.vms_file is None) == (not written.vms):
+def _entries(parsed: SettingsFile, path: pathlib.Path) -> list[VmEntry]:
+    """Returns the list of VMs from the file or from the list of VMs in it.
+
+    Raises:
+        InvalidSettingsError: Both or neither are given, or two VMs have the
+            same id or address.
+    """
+    if (parsed.vms_file is None) == (not parsed.vms):
         both = "either vms_file or a list of VMs"
-        raise InvalidSettingsError.at(path, "vms_file", written.vms_file, both)
-    entries = written.vms
-    if written.vms_file is not None:
-        path = path.parent / written.vms_file
+        raise InvalidSettingsError.at(path, "vms_file", parsed.vms_file, both)
+    entries = parsed.vms
+    if parsed.vms_file is not None:
+        path = path.parent / parsed.vms_file
         tree = toml_files.read(path, InvalidSettingsError)
         entries = toml_files.validated(
             VmsFile, tree, path, InvalidSettingsError
@@ -197,33 +203,33 @@
     )
 
 
-def _me(
-    written: SettingsFile, vms: list[topology.Vm], path: pathlib.Path
+def _local_vm(
+    parsed: SettingsFile, vms: list[topology.Vm], path: pathlib.Path
 ) -> topology.Vm:
     for vm in vms:
-        if vm.vm_id == written.vm_id:
+        if vm.vm_id == parsed.vm_id:
             return vm
     known = "one of " + ", ".join(vm.vm_id for vm in vms)
-    raise InvalidSettingsError.at(path, "vm_id", written.vm_id, known)
+    raise InvalidSettingsError.at(path, "vm_id", parsed.vm_id, known)
 
 
 def _check_dial(
-    written: SettingsFile, vms: list[topology.Vm], path: pathlib.Path
+    parsed: SettingsFile, vms: list[topology.Vm], path: pathlib.Path
 ) -> None:
-    known = {vm.vm_id for vm in vms} - {written.vm_id}
-    for vm_id in written.dial:
+    known = {vm.vm_id for vm in vms} - {parsed.vm_id}
+    for vm_id in parsed.dial:
         if vm_id not in known:
             one_of = "one of " + ", ".join(sorted(known))
             raise InvalidSettingsError.at(path, "dial", vm_id, one_of)
 
 
 def _check_disk(
-    written: SettingsFile, me: topology.Vm, path: pathlib.Path
+    parsed: SettingsFile, local_vm: topology.Vm, path: pathlib.Path
 ) -> None:
-    folder = written.data_folder
-    if me.has_disk and folder is None:
-        needed = f"a folder, since {me.vm_id} has a disk in the list"
+    folder = parsed.data_folder
+    if local_vm.has_disk and folder is None:
+        needed = f"a folder, since {local_vm.vm_id} has a disk in the list"
         raise InvalidSettingsError.at(path, "data_folder", folder, needed)
-    if not me.has_disk and folder is not None:
-        none = f"none, since {me.vm_id} has no disk in the list"
+    if not local_vm.has_disk and folder is not None:
+        none = f"none, since {local_vm.vm_id} has no disk in the list"
         raise InvalidSettingsError.at(path, "data_folder", folder, none)
--- a/laburnumsill/daemon/tests/test_role_imports.py
+++ b/laburnumsill/daemon/tests/test_role_imports.py
@@ -1,4 +1,4 @@
-"""What a role loads: a small VM pays for each module at every start."""
+"""Modules that a role loads, which cost time and memory at every start."""
 
 import json
 import subprocess
@@ -36,8 +36,8 @@
     },
     "laburnumsill.state": {"highest_version"},
 }
-"""The modules of the replicated state that an entry needs: what it sends and
-how it finds the leader, and neither the engine nor the ledger."""
+"""The modules of the replicated state that an entry needs: its messages and the
+search for the leader, but neither the engine nor the ledger."""
 
 
 def loaded(role: str) -> set[str]:
@@ -53,13 +53,13 @@
 
 
 @pytest.mark.parametrize("role", ["entry", "core"])
-def test_a_role_loads_no_library_that_it_does_not_use(role):
+def test_a_role_loads_no_unused_library(role):
     roots = {name.partition(".")[0] for name in loaded(role)}
     assert LIBRARIES[role] <= roots
     assert not roots & NOT_LOADED[role]
 
 
-def test_an_entry_loads_nothing_of_the_replicated_state_but_its_messages():
+def test_an_entry_loads_only_the_messages_of_the_replicated_state():
     modules = loaded("entry")
     for subpackage, expected in ENTRY_SUBPACKAGES.items():
         prefix = f"{subpackage}."
--- a/laburnumsill/daemon/tests/test_role_settings.py
+++ b/laburnumsill/daemon/tests/test_role_settings.py
@@ -46,20 +46,20 @@
         (GOOD + "unknown_ms = 5\n", "unknown_ms"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path, text, named):
+def test_error_names_the_invalid_key_or_the_file(tmp_path, text, named):
     with pytest.raises(errors.InvalidConfigurationError) as caught:
         load(tmp_path, text)
     assert named in caught.value.detail
 
 
-def test_a_bad_file_ends_the_program_with_2(tmp_path, capsys):
+def test_an_unreadable_file_exits_with_bad_settings(tmp_path, capsys):
     missing = tmp_path / "missing.toml"
     assert role_main.run("core", missing) == running.EXIT_BAD_SETTINGS
     assert "missing.toml" in capsys.readouterr().err
 
 
-def test_the_template_names_the_settings():
-    """The deploy file's template sets only keys that there are."""
+def test_the_template_has_only_known_keys():
+    """The template in `deploy` sets only keys of the settings classes."""
     root = pathlib.Path(__file__).parents[3]
     text = (root / "deploy" / "settings.toml.template").read_text()
     known = set(role_settings.RoleSettings.__struct_fields__)
@@ -73,8 +73,8 @@
     assert keys and keys <= known
 
 
-def test_a_file_that_makes_no_sense_is_refused_with_a_type(tmp_path):
-    """It may be read while it is written, each second."""
+def test_an_invalid_file_raises_a_typed_error(tmp_path):
+    """The file is polled, so it may be read while it is being written."""
     wrong = []
     for text in (
         GOOD.replace("7000", "9" * 5_000),
@@ -92,7 +92,7 @@
     ):
         try:
             load(tmp_path, text)
-            wrong.append(f"taken: {text:.200}")
+            wrong.append(f"accepted: {text:.200}")
         except errors.InvalidConfigurationError:
             continue
         except (ValueError, RecursionError) as error:
@@ -111,7 +111,7 @@
     assert file.changed() is None
 
 
-def test_a_bad_change_is_refused_once_and_a_good_one_taken(tmp_path):
+def test_an_invalid_change_is_rejected_once_a_valid_one_accepted(tmp_path):
     path = tmp_path / "settings.toml"
     path.write_text(GOOD)
     file = role_settings.SettingsFile(path)
--- a/laburnumsill/daemon/tests/test_settings.py
+++ b/laburnumsill/daemon/tests/test_settings.py
@@ -30,11 +30,11 @@
     return path
 
 
-def test_a_whole_file(tmp_path):
+def test_a_complete_file(tmp_path):
     dial = 'log_level = "DEBUG"\ndial = {vm2 = "127.0.0.1:9"}\n'
     loaded = settings.load(write(tmp_path, OWN + dial + VMS))
-    assert loaded.me.domain == "north"
-    assert loaded.me in loaded.vms
+    assert loaded.local_vm.domain == "north"
+    assert loaded.local_vm in loaded.vms
     assert len(loaded.vms) == 2
     assert loaded.dial == {"vm2": "127.0.0.1:9"}
     assert loaded.data_folder == tmp_path / "data"
@@ -75,7 +75,7 @@
         (OWN + VMS.replace('domain = "south"', ""), "vms.1.domain"),
     ],
 )
-def test_a_bad_file_names_the_spot(tmp_path, text, key):
+def test_error_names_file_key_and_expected_value(tmp_path, text, key):
     path = write(tmp_path, text)
     with pytest.raises(settings.InvalidSettingsError) as caught:
         settings.load(path)
@@ -97,10 +97,10 @@
 @pytest.mark.parametrize(
     ("site", "domains"), [("tana-shore", 3), ("fingal", 4)]
 )
-def test_examples(site, domains):
+def test_settings_of_the_examples_are_valid(site, domains):
     for number in range(1, 9):
         loaded = settings.load(EXAMPLES / site / f"vm{number}.toml")
-        assert loaded.me.vm_id == f"vm{number}"
+        assert loaded.local_vm.vm_id == f"vm{number}"
         assert len(loaded.vms) == 8
         assert len(topology.domains(loaded.vms)) == domains
         disks = [vm for vm in loaded.vms if vm.has_disk]
--- a/laburnumsill/daemon/usage_relay.py
+++ b/laburnumsill/daemon/usage_relay.py
@@ -1,7 +1,7 @@
-"""Takes a worker's usage report to the scheduler of its failure domain.
+"""Relay of workers' usage reports to the scheduler of their failure domain.
 
-A worker reports to any VM; the scheduler acts on the VM that leads the
-domain's group. A report that gets lost on the way is made up for by the next.
+A worker reports to any VM, while the scheduler is active on the VM that leads
+the domain's group. A lost report is superseded by the next one.
 """
 
 import dataclasses
@@ -18,48 +18,48 @@
 @codec.register("usage.notice")
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageNotice:
-    """A report on its way to the leader of a domain's group."""
+    """Report that is relayed to the leader of a domain's group."""
 
     domain: str
     report: usage.UsageReport
 
 
 class UsageRelay:
-    """Passes reports on to the voters of the group that owns the worker."""
+    """Relays reports to the voters of the group that owns the worker."""
 
     def __init__(
         self,
-        me: str,
+        local_vm_id: str,
         groups: replication.Groups,
         peers: replication.Peers,
         view: members.MemberView,
         voters: abc.Callable[[], abc.Mapping[str, abc.Sequence[str]]],
         schedulers: abc.Mapping[str, scheduler.DomainScheduler],
     ) -> None:
-        self._me = me
+        self._local_vm_id = local_vm_id
         self._groups = groups
         self._peers = peers
         self._view = view
         self._voters = voters
         self._schedulers = schedulers
-        peers.on_notice(UsageNotice, self._take)
+        peers.on_notice(UsageNotice, self._deliver)
 
     async def relay(self, report: usage.UsageReport) -> None:
-        """Takes a report that a worker sent to this VM."""
+        """Relays a report that a worker sent to this VM."""
         domain = self._domain_of(report.worker_id)
         if domain is None:
             return
         group = ids.domain_group(domain)
         notice = UsageNotice(domain, report)
         if self._groups.leads(group):
-            self._take(notice)
+            self._deliver(notice)
             return
         for vm_id in self._voters().get(group, ()):
-            if vm_id != self._me:
+            if vm_id != self._local_vm_id:
                 self._peers.notify(vm_id, notice)
 
-    def _take(self, notice: UsageNotice) -> None:
-        """Gives a report to the scheduler, which drops it if it follows."""
+    def _deliver(self, notice: UsageNotice) -> None:
+        """Passes a report to the scheduler, which drops it on a follower."""
         report = notice.report
         self._schedulers[notice.domain].usage(report.worker_id, report)
 
