--- a/laburnumsill/daemon/light_server.py
+++ b/laburnumsill/daemon/light_server.py
@@ -1,8 +1,8 @@
 """A small HTTP/1.1 server for ASGI applications, on h11 and trio.
 
-It serves the roles that start often on small VMs: it loads a fifth of the
-modules of a whole ASGI server, and a request takes one task and no queues.
-HTTP/2, WebSockets, TLS and streams in both directions at a time are left out.
+It is used by the roles that start often on small VMs: it loads a fifth of the
+modules of a complete ASGI server, and a request needs one task and no queue.
+HTTP/2, WebSockets, TLS and full-duplex streams are not supported.
 """
 
 import functools
@@ -21,14 +21,15 @@
 MAX_HEADER_BYTES = 32 * 1024
 KEEP_ALIVE_S = 60
 RECEIVE_BYTES = 32_768
-"""Headers are refused at the first receipt past their limit."""
+"""Maximum size of one read. Headers are rejected after the first read that
+exceeds their limit."""
 
-READ_WITHIN_S = 60
-"""A caller that has not read an answer by then is given up."""
+SEND_TIMEOUT_S = 60
+"""The connection of a caller that has not read an answer by then is closed."""
 
 LINGER_S = 0.5
-"""After an early answer the rest of a body is read and dropped for so long,
-since closing a connection with unread bytes resets it."""
+"""Time for which the rest of a body is read and discarded after an early
+response, since closing a connection with unread bytes resets it."""
 
 Message = dict[str, typing.Any]
 Application = abc.Callable[
@@ -40,7 +41,7 @@
     abc.Awaitable[None],
 ]
 
-_FAULTS = (trio.BrokenResourceError, trio.ClosedResourceError)
+_STREAM_ERRORS = (trio.BrokenResourceError, trio.ClosedResourceError)
 
 
 async def serve(
@@ -56,13 +57,13 @@
     Args:
         application: The ASGI application.
         address: ``host:port`` to listen on.
-        stop: Returns when no new connection is to be taken.
-        stop_grace_s: Seconds that exchanges in flight have after that.
+        stop: Returns when no new connection is to be accepted.
+        stop_grace_s: Seconds in which requests in flight can complete then.
         task_status: Started once the socket listens.
 
     Raises:
         listening.AddressTakenError: Another process listens on the address.
-        listening.ListenError: It cannot be listened on.
+        listening.ListenError: Listening on the address failed.
     """
     listener = await listening.listen(address)
     connections: set[_Connection] = set()
@@ -100,19 +101,19 @@
 
 
 class _Connection:
-    """One caller's connection: one exchange after the other."""
+    """One caller's connection, which serves one exchange at a time."""
 
     def __init__(
         self, application: Application, stream: trio.SocketStream
     ) -> None:
         self._application = application
         self._stream = stream
-        self._http = _new_protocol()
+        self._protocol = _new_protocol()
         self._idle: trio.CancelScope | None = None
         self._finishing = False
 
     def finish(self) -> None:
-        """Ends the connection after the exchange in flight, if there is one."""
+        """Closes the connection after the exchange in progress, if any."""
         self._finishing = True
         if self._idle is not None:
             self._idle.cancel()
@@ -121,16 +122,16 @@
         """Serves exchanges until either end closes the connection."""
         try:
             while await self._exchange():
-                self._http.start_next_cycle()
-        except (_ClosedError, *_FAULTS):
+                self._protocol.start_next_cycle()
+        except (_ClosedError, *_STREAM_ERRORS):
             pass
         except h11.RemoteProtocolError as error:
-            await self._refuse(error)
+            await self._reject(error)
         finally:
             await trio.aclose_forcefully(self._stream)
 
     async def _exchange(self) -> bool:
-        """Serves one exchange; returns whether another one may follow."""
+        """Serves one exchange; returns whether the connection can be reused."""
         request = await self._next_request()
         if request is None:
             return False
@@ -139,22 +140,22 @@
             await self._application(
                 _scope(request), exchange.receive, exchange.send
             )
-        except (_ClosedError, h11.RemoteProtocolError, *_FAULTS):
+        except (_ClosedError, h11.RemoteProtocolError, *_STREAM_ERRORS):
             raise
-        except Exception as error:  # one request's fault must not stop others
+        except Exception as error:  # a failure must not affect other requests
             logs.event(
                 "http-server",
                 level="ERROR",
                 message="the application failed",
                 error=repr(error),
             )
-            await exchange.fail()
-        await self._drop_rest()
-        done = self._http.our_state is h11.DONE
-        return done and self._http.their_state is h11.DONE
+            await exchange.send_failure()
+        await self._discard_body()
+        done = self._protocol.our_state is h11.DONE
+        return done and self._protocol.their_state is h11.DONE
 
     async def _next_request(self) -> h11.Request | None:
-        """Returns the next request; None if none comes."""
+        """Returns the next request, None if the connection is to be closed."""
         if self._finishing:
             return None
         self._idle = trio.CancelScope(
@@ -167,49 +168,49 @@
         return event if isinstance(event, h11.Request) else None
 
     async def next_event(self) -> typing.Any:
-        """Returns the next event of the protocol.
+        """Returns the next h11 event.
 
         Raises:
-            _ClosedError: The caller went away.
-            h11.RemoteProtocolError: It sent what is no HTTP.
+            _ClosedError: The caller closed the connection.
+            h11.RemoteProtocolError: The caller sent invalid HTTP.
         """
         while True:
-            event = self._http.next_event()
+            event = self._protocol.next_event()
             if event is not h11.NEED_DATA:
                 return event
-            if self._http.they_are_waiting_for_100_continue:
+            if self._protocol.they_are_waiting_for_100_continue:
                 await self.write(
                     h11.InformationalResponse(status_code=100, headers=[])
                 )
             data = await self._stream.receive_some(RECEIVE_BYTES)
             if not data:
-                raise _ClosedError("the caller went away")
-            self._http.receive_data(data)
+                raise _ClosedError("the caller closed the connection")
+            self._protocol.receive_data(data)
 
     async def write(self, *events: typing.Any) -> None:
-        """Sends events of the protocol in one piece.
+        """Sends h11 events in one write.
 
         Raises:
-            _ClosedError: The caller does not read.
+            _ClosedError: The caller has not read the data in time.
         """
-        pieces = (self._http.send(event) for event in events)
+        pieces = (self._protocol.send(event) for event in events)
         data = b"".join(piece for piece in pieces if piece)
         if not data:
             return
-        with trio.move_on_after(READ_WITHIN_S):
+        with trio.move_on_after(SEND_TIMEOUT_S):
             await self._stream.send_all(data)
             return
-        raise _ClosedError("the caller does not read its answer")
+        raise _ClosedError("the caller did not read the answer in time")
 
-    async def _drop_rest(self) -> None:
-        """Reads what is left of a request that was answered early."""
+    async def _discard_body(self) -> None:
+        """Discards the rest of the body after an early response."""
         with trio.move_on_after(LINGER_S):
-            while self._http.their_state is h11.SEND_BODY:
+            while self._protocol.their_state is h11.SEND_BODY:
                 await self.next_event()
 
-    async def _refuse(self, error: h11.RemoteProtocolError) -> None:
-        """Answers bytes that are no request, if nothing was answered yet."""
-        if self._http.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
+    async def _reject(self, error: h11.RemoteProtocolError) -> None:
+        """Answers invalid HTTP, unless a response has been started."""
+        if self._protocol.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
         headers = [("content-length", "0"), ("connection", "close")]
         with trio.move_on_after(LINGER_S):
@@ -220,27 +221,27 @@
                     ),
                     h11.EndOfMessage(),
                 )
-            except _FAULTS:
+            except _STREAM_ERRORS:
                 return
 
 
 class _Exchange:
-    """The two callables that an ASGI application has for one request."""
+    """The `receive` and `send` callables of one request for the application."""
 
     def __init__(self, connection: _Connection, request: h11.Request) -> None:
         self._connection = connection
-        self._without_body = request.method == b"HEAD"
-        self._received = False
+        self._is_head = request.method == b"HEAD"
+        self._body_ended = False
         self._response: h11.Response | None = None
-        self._answering = False
+        self._response_started = False
 
     async def receive(self) -> Message:
         """Returns the next part of the body."""
-        if self._received:
+        if self._body_ended:
             return {"type": "http.disconnect"}
         try:
             event = await self._connection.next_event()
-        except (_ClosedError, *_FAULTS):
+        except (_ClosedError, *_STREAM_ERRORS):
             return {"type": "http.disconnect"}
         if isinstance(event, h11.Data):
             return {
@@ -248,11 +249,11 @@
                 "body": bytes(event.data),
                 "more_body": True,
             }
-        self._received = True
+        self._body_ended = True
         return {"type": "http.request", "body": b"", "more_body": False}
 
     async def send(self, message: Message) -> None:
-        """Takes the next part of the answer."""
+        """Sends the next part of the response."""
         if message["type"] == "http.response.start":
             self._response = h11.Response(
                 status_code=message["status"],
@@ -260,23 +261,24 @@
             )
             return
         events: list[typing.Any] = []
-        if not self._answering and self._response is not None:
+        if not self._response_started and self._response is not None:
             events.append(self._response)
-            self._answering = True
+            self._response_started = True
         body = message.get("body", b"")
-        if body and not self._without_body:
+        if body and not self._is_head:
             events.append(h11.Data(data=body))
         if not message.get("more_body", False):
             events.append(h11.EndOfMessage())
         await self._connection.write(*events)
 
-    async def fail(self) -> None:
-        """Answers for an application that failed, if it has not begun to.
+    async def send_failure(self) -> None:
+        """Sends status 500 after a failure of the application.
 
         Raises:
-            _ClosedError: It has, so the caller must see the end.
+            _ClosedError: A response has been started, so the connection must
+                be closed.
         """
-        if self._answering:
+        if self._response_started:
             raise _ClosedError("the answer was not completed")
         await self.send(
             {
--- a/laburnumsill/daemon/listening.py
+++ b/laburnumsill/daemon/listening.py
@@ -1,4 +1,4 @@
-"""Listening on an address, with a type for each failure."""
+"""Listening on an address, with typed errors."""
 
 import errno
 
@@ -10,7 +10,7 @@
 
 
 class ListenError(errors.LaburnumsillError):
-    """An address of this daemon cannot be listened on."""
+    """Listening on an address of this daemon failed."""
 
     slug = "listen"
     title = "Cannot listen on an address"
@@ -28,7 +28,7 @@
 
     Raises:
         AddressTakenError: Another process listens on the address.
-        ListenError: It cannot be listened on.
+        ListenError: Listening on the address failed.
     """
     host, _, port = address.rpartition(":")
     listening = trio.socket.socket()
--- a/laburnumsill/daemon/server.py
+++ b/laburnumsill/daemon/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server of one daemon: hypercorn with our limits and logs."""
+"""The HTTP server of one daemon: hypercorn with limits and event logs."""
 
 import logging
 import typing
@@ -13,15 +13,15 @@
 
 MAX_HEADER_BYTES = 32 * 1024
 KEEP_ALIVE_S = 60
-MAX_BODY_PIECES = 2
-"""Pieces of a body, 64 KB at most, that wait to be read."""
+MAX_QUEUED_CHUNKS = 2
+"""Number of chunks of a body, each of at most 64 KB, that wait to be read."""
 
 
 class _EventHandler(logging.Handler):
-    """Passes hypercorn's own messages on as events."""
+    """Logs hypercorn's own messages as events."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Writes one event."""
+        """Logs one record."""
         logs.event(
             "http-server",
             level=record.levelname,
@@ -39,10 +39,10 @@
 
 
 class HttpOnly:
-    """Answers the server's lifespan messages for an application without any.
+    """Adds the ASGI lifespan protocol to an application without it.
 
     Args:
-        application: An ASGI application that serves HTTP alone.
+        application: An ASGI application that supports only HTTP.
     """
 
     def __init__(self, application: typing.Any) -> None:
@@ -78,13 +78,13 @@
     Args:
         application: The ASGI application.
         address: ``host:port`` to listen on.
-        stop: Returns when no new connection is to be taken.
-        stop_grace_s: Seconds that exchanges in flight have after that.
+        stop: Returns when no new connection is to be accepted.
+        stop_grace_s: Seconds in which requests in flight can complete then.
         task_status: Started once the socket listens.
 
     Raises:
         listening.AddressTakenError: Another process listens on the address.
-        listening.ListenError: It cannot be listened on.
+        listening.ListenError: Listening on the address failed.
     """
     listener = await listening.listen(address)
     config = hypercorn.config.Config()
@@ -95,7 +95,7 @@
     config.keep_alive_timeout = KEEP_ALIVE_S
     config.graceful_timeout = stop_grace_s
     config.backlog = listening.LISTEN_BACKLOG
-    config.max_app_queue_size = MAX_BODY_PIECES
+    config.max_app_queue_size = MAX_QUEUED_CHUNKS
     config.include_server_header = False
     await hypercorn.trio.serve(
         application,
--- a/laburnumsill/daemon/tests/test_light_server.py
+++ b/laburnumsill/daemon/tests/test_light_server.py
@@ -1,3 +1,5 @@
+"""HTTP/1.1 conformance, timeouts and shutdown of the light server."""
+
 import contextlib
 import functools
 
@@ -117,7 +119,7 @@
         assert [scope["path"] for scope in site.scopes] == ["/1", "/2"]
 
 
-async def test_a_body_comes_whole_by_length_or_in_chunks():
+async def test_body_is_complete_by_length_or_in_chunks():
     async with served() as site:
         caller = await site.connect()
         await caller.send(
@@ -135,7 +137,7 @@
         assert site.bodies == [b"abcdef", b"abcde"]
 
 
-async def test_a_caller_that_waits_is_told_to_go_on():
+async def test_expect_100_continue_is_answered():
     async with served() as site:
         caller = await site.connect()
         await caller.send(
@@ -148,7 +150,7 @@
         assert site.bodies == [b"x"]
 
 
-async def test_an_answer_to_head_has_no_body():
+async def test_a_response_to_head_has_no_body():
     async with served() as site:
         caller = await site.connect()
         await caller.send("HEAD / HTTP/1.1\r\nhost: h\r\n\r\n")
@@ -166,7 +168,7 @@
         (f"GET / HTTP/1.1\r\nhost: h\r\nx: {'y' * 100_000}\r\n\r\n", 431),
     ],
 )
-async def test_what_is_no_request_is_refused(sent, status):
+async def test_invalid_http_is_rejected(sent, status):
     async with served() as site:
         caller = await site.connect()
         with contextlib.suppress(trio.BrokenResourceError):
@@ -177,7 +179,7 @@
         await other.until("answer")
 
 
-async def test_a_request_after_bytes_that_make_no_sense_is_not_run():
+async def test_no_request_is_served_after_invalid_headers():
     async with served() as site:
         caller = await site.connect()
         await caller.send(
@@ -188,7 +190,7 @@
         assert not site.scopes
 
 
-async def test_a_failure_of_the_application_is_answered():
+async def test_a_failure_of_the_application_is_answered_with_500():
     async with served() as site:
         caller = await site.connect()
         await caller.send(GET.format("/fails"))
@@ -198,7 +200,7 @@
         await other.until("answer")
 
 
-async def test_an_early_answer_arrives_though_the_body_goes_on():
+async def test_an_early_response_arrives_while_the_body_is_sent():
     async with served() as site:
         caller = await site.connect()
         await caller.send(PUT.format("/early", 200_000))
@@ -209,7 +211,7 @@
         await caller.until("answer")
 
 
-async def test_a_caller_that_goes_away_ends_its_request():
+async def test_a_disconnect_of_the_caller_ends_the_request():
     async with served() as site:
         caller = await site.connect()
         await caller.send(
@@ -221,14 +223,14 @@
             await site.left.wait()
 
 
-async def test_a_connection_without_requests_is_closed_in_the_end(monkeypatch):
+async def test_an_idle_connection_is_closed_after_the_timeout(monkeypatch):
     monkeypatch.setattr(light_server, "KEEP_ALIVE_S", 0.05)
     async with served() as site:
         caller = await site.connect()
         assert await caller.until_closed() == ""
 
 
-async def test_a_shutdown_ends_idle_connections_and_answers_those_in_flight():
+async def test_shutdown_closes_idle_connections_and_completes_requests():
     async with served() as site:
         idle = await site.connect()
         await idle.send(GET.format("/"))
@@ -245,7 +247,7 @@
             await site.ended.wait()
 
 
-async def test_a_shutdown_waits_no_longer_than_its_grace():
+async def test_shutdown_waits_for_the_grace_period():
     async with served() as site:
         busy = await site.connect()
         await busy.send(GET.format("/held"))
@@ -257,9 +259,9 @@
         assert trio.current_time() - began >= GRACE_S
 
 
-async def test_a_caller_that_never_reads_is_given_up(monkeypatch):
-    """It would keep its descriptor, and the answer in memory, for ever."""
-    monkeypatch.setattr(light_server, "READ_WITHIN_S", 0.2)
+async def test_connection_of_a_caller_that_never_reads_is_closed(monkeypatch):
+    """Otherwise the socket and the response in memory would never be freed."""
+    monkeypatch.setattr(light_server, "SEND_TIMEOUT_S", 0.2)
     async with served() as site:
         site.answer = b"x" * 40_000_000
         caller = await site.connect()
--- a/laburnumsill/daemon/tests/test_metrics_app.py
+++ b/laburnumsill/daemon/tests/test_metrics_app.py
@@ -1,3 +1,5 @@
+"""The paths and headers of the metrics application."""
+
 import pytest
 
 from laburnumsill.core import metrics
@@ -11,15 +13,15 @@
         ("/other", 404, b"application/json"),
     ],
 )
-async def test_only_the_metrics_are_served(path, status, kind):
-    measured = metrics.Metrics()
-    measured.count("jobs_total", queue="urgent")
+async def test_only_the_metrics_path_is_served(path, status, kind):
+    registry = metrics.Metrics()
+    registry.count("jobs_total", queue="urgent")
     sent = []
 
     async def send(message):
         sent.append(message)
 
-    app = metrics_app.MetricsApp(measured)
+    app = metrics_app.MetricsApp(registry)
     await app({"type": "http", "path": path}, None, send)
     start, body = sent
     assert start["status"] == status
--- a/laburnumsill/daemon/tests/test_server.py
+++ b/laburnumsill/daemon/tests/test_server.py
@@ -1,3 +1,5 @@
+"""Errors of both HTTP servers when they listen on an address."""
+
 import socket
 
 import pytest
@@ -10,8 +12,8 @@
 BOTH = pytest.mark.parametrize("server", [server, light_server])
 
 
-async def nothing(scope, receive, send):
-    raise AssertionError("nobody calls")
+async def unused_application(scope, receive, send):
+    raise AssertionError("no request was sent")
 
 
 @BOTH
@@ -19,11 +21,13 @@
     with socket.create_server(("127.0.0.1", 0)) as taken:
         address = f"127.0.0.1:{taken.getsockname()[1]}"
         with pytest.raises(listening.AddressTakenError, match=address):
-            await server.serve(nothing, address, trio.sleep_forever, 0.1)
+            await server.serve(
+                unused_application, address, trio.sleep_forever, 0.1
+            )
 
 
 @BOTH
 @pytest.mark.parametrize("address", ["127.0.0.1:http", "127.0.0.1"])
-async def test_an_address_that_makes_no_sense_is_a_typed_error(server, address):
+async def test_an_invalid_address_is_a_typed_error(server, address):
     with pytest.raises(listening.ListenError, match=address):
-        await server.serve(nothing, address, trio.sleep_forever, 0.1)
+        await server.serve(unused_application, address, trio.sleep_forever, 0.1)
