--- a/laburnumsill/daemon/configuration_fetch.py
+++ b/laburnumsill/daemon/configuration_fetch.py
@@ -20,11 +20,11 @@
 ]
 """Queries the update since a version; 0 asks for the whole newest version."""
 
-Open = abc.Callable[
+Parse = abc.Callable[
     [configuration_versions.AcceptedConfiguration],
     configuration_versions.OpenedVersion,
 ]
-"""Returns a version with its decoded document."""
+"""Returns a version with its parsed document."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -45,14 +45,14 @@
 async def fetch(
     query: Query,
     base: configuration_versions.AcceptedConfiguration | None,
-    open_version: Open,
+    parse_version: Parse,
 ) -> FetchResult | None:
     """Fetches a version that is newer than `base`.
 
     Args:
         query: Queries the root group or a peer.
         base: The version in force here, None if there is none.
-        open_version: Decodes the document of `base`.
+        parse_version: Parses the document of `base`.
 
     Returns:
         The result, None if the query failed.
@@ -60,7 +60,7 @@
     try:
         update = await query(base.version if base else 0)
         if base is not None and update.steps:
-            patched = await _apply_steps(base, update.steps, open_version)
+            patched = await _apply_steps(base, update.steps, parse_version)
             if patched is not None:
                 return FetchResult(patched=patched, steps=update.steps)
             update = await query(0)
@@ -73,11 +73,11 @@
 async def _apply_steps(
     base: configuration_versions.AcceptedConfiguration,
     steps: abc.Iterable[configuration_versions.VersionStep],
-    open_version: Open,
+    parse_version: Parse,
 ) -> configuration_versions.OpenedVersion | None:
     """Returns the version after the steps, None if one does not apply."""
     try:
-        patched = open_version(base)
+        patched = parse_version(base)
         for step in steps:
             patched = patched.after(step)
             await trio.lowlevel.checkpoint()
--- a/laburnumsill/daemon/configuration_lease.py
+++ b/laburnumsill/daemon/configuration_lease.py
@@ -87,9 +87,10 @@
 
     @property
     def may_refuse(self) -> bool:
-        """Whether calls may be refused for lacking names or keys.
+        """Whether calls may be refused for names or keys that are missing here.
 
-        A newer version, which may have them, is then neither known nor likely.
+        This requires a recent confirmation that no newer version exists, which
+        could contain them.
         """
         behind = self._newest_version > self._current_version()
         return not behind and self._age_s() <= REFUSAL_MAX_AGE_S
--- a/laburnumsill/daemon/configuration_sharing.py
+++ b/laburnumsill/daemon/configuration_sharing.py
@@ -144,7 +144,7 @@
         return typing.cast(Confirmed, answer)
 
 
-class SharedConfirmation:
+class ConfigurationResponder:
     """Answers questions of entries on a VM of the core.
 
     Args:
--- a/laburnumsill/daemon/configuration_sync.py
+++ b/laburnumsill/daemon/configuration_sync.py
@@ -110,14 +110,14 @@
         self._accepted: configuration_versions.AcceptedConfiguration | None = (
             None
         )
-        self._offered: configuration_versions.AcceptedConfiguration | None = (
-            None
-        )
-        self._opened: configuration_versions.OpenedVersion | None = None
+        self._offered_version: (
+            configuration_versions.AcceptedConfiguration | None
+        ) = None
+        self._parsed_version: configuration_versions.OpenedVersion | None = None
         self._steps = configuration_versions.Steps()
         self._decoder = configuration_decoding.Decoder()
         self._notices: dict[str, messages.InForceNotice] = {}
-        self._observed: replication.StateMachine | None = None
+        self._observed_machine: replication.StateMachine | None = None
         self._sources = configuration_sources.Sources(local_vm, vms, clock)
         self._next_round_at = 0.0
         self._wake = trio.Event()
@@ -140,7 +140,7 @@
     ) -> None:
         """Schedules an accepted version to be put in force if it is newer."""
         if accepted.version > self._current.version:
-            self._offered = accepted
+            self._offered_version = accepted
             self._wake.set()
 
     def kept(
@@ -169,9 +169,9 @@
         if models is not None:
             self._put(accepted, models)
             self._steps.clear()
-            self._opened = None
+            self._parsed_version = None
 
-    def _adopt_opened(
+    def _adopt_patched(
         self,
         patched: configuration_versions.OpenedVersion,
         steps: abc.Sequence[configuration_versions.VersionStep],
@@ -199,7 +199,7 @@
         )
         if models is not None:
             self._put(accepted, models)
-            self._opened = patched
+            self._parsed_version = patched
             for step in steps:
                 self._steps.add(step)
 
@@ -280,7 +280,7 @@
                 self._adopt(stored)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._start_up)
-            nursery.start_soon(self._follow)
+            nursery.start_soon(self._run_updates)
 
     async def _start_up(self) -> None:
         """Determines the version in force, preferably from a quorum."""
@@ -305,7 +305,7 @@
                 if vm.domain == self._local_vm.domain and vm != self._local_vm:
                     nursery.start_soon(self._fetch_from, vm.vm_id)
 
-    async def _follow(self) -> None:
+    async def _run_updates(self) -> None:
         while True:
             self._wake = trio.Event()
             self._adopt_offered()
@@ -316,32 +316,35 @@
                 await self._wake.wait()
 
     def _adopt_offered(self) -> None:
-        offered, self._offered = self._offered, None
+        offered, self._offered_version = self._offered_version, None
         if offered is None:
             return
         base = self._accepted
         if offered.step is not None and base is not None:
             with contextlib.suppress(difference.UnfitDifferenceError):
-                patched = self._open(base).after(offered.step)
-                self._adopt_opened(patched, [offered.step])
+                patched = self._parse(base).after(offered.step)
+                self._adopt_patched(patched, [offered.step])
                 return
         self._adopt(offered)
 
-    def _open(
+    def _parse(
         self, accepted: configuration_versions.AcceptedConfiguration
     ) -> configuration_versions.OpenedVersion:
-        """Returns a version with its decoded document, which is cached."""
-        if self._opened is None or self._opened.accepted is not accepted:
-            self._opened = configuration_versions.opened(accepted)
-        return self._opened
+        """Returns a version with its parsed document, which is cached."""
+        if (
+            self._parsed_version is None
+            or self._parsed_version.accepted is not accepted
+        ):
+            self._parsed_version = configuration_versions.opened(accepted)
+        return self._parsed_version
 
     def _adopt_replicated(self) -> None:
         """Adopts the newest version in this VM's root replica, if any."""
         machine = self._groups.local(ids.ROOT_GROUP)
         if machine is None:
             return
-        if machine is not self._observed:
-            self._observed = machine
+        if machine is not self._observed_machine:
+            self._observed_machine = machine
             machine.observe(self._on_applied)
         log: configuration.ConfigurationLog = machine.component(
             configuration.COMPONENT_NAME
@@ -350,7 +353,7 @@
             return
         steps = log.steps_since(self._current.version)
         if steps and log.opened is not None:
-            self._adopt_opened(log.opened, steps)
+            self._adopt_patched(log.opened, steps)
         else:
             self._adopt(log.current)
 
@@ -398,12 +401,12 @@
             errors.StorageError: The fetched version could not be synced.
         """
         fetched = await configuration_fetch.fetch(
-            query, self._accepted, self._open
+            query, self._accepted, self._parse
         )
         if fetched is None:
             return False
         if fetched.patched is not None:
-            self._adopt_opened(fetched.patched, fetched.steps)
+            self._adopt_patched(fetched.patched, fetched.steps)
         elif fetched.whole is not None:
             self._adopt(fetched.whole)
         return True
--- a/laburnumsill/daemon/core_choice.py
+++ b/laburnumsill/daemon/core_choice.py
@@ -60,11 +60,12 @@
         """Records that a VM failed to answer, which starts its backoff."""
         count = self._failures.get(vm, (0, 0.0))[0] + 1
         backoff_s = INITIAL_BACKOFF_S * math.ldexp(1.0, min(count - 1, 10))
-        until = now + min(backoff_s, MAX_BACKOFF_S)
-        self._failures[vm] = (count, until)
+        retry_at = now + min(backoff_s, MAX_BACKOFF_S)
+        self._failures[vm] = (count, retry_at)
 
     def _rank(self, vm: str, now: float) -> tuple[float, int]:
-        until = self._failures.get(vm, (0, 0.0))[1]
+        """Returns the sort key of a VM; VMs in their backoff come last."""
+        retry_at = self._failures.get(vm, (0, 0.0))[1]
         domain = self._domains.get(vm)
         distance = 1 if domain is None else 2 * (domain != self._domain)
-        return (until if until > now else 0.0, distance)
+        return (retry_at if retry_at > now else 0.0, distance)
--- a/laburnumsill/daemon/core_role.py
+++ b/laburnumsill/daemon/core_role.py
@@ -87,7 +87,7 @@
                 self._pools,
             )
         )
-        self._sharing = configuration_sharing.SharedConfirmation(
+        self._responder = configuration_sharing.ConfigurationResponder(
             role.SITE_GROUP,
             self._host,
             self._network,
--- a/laburnumsill/daemon/replacement.py
+++ b/laburnumsill/daemon/replacement.py
@@ -111,7 +111,7 @@
         self._vms = vms
         self._groups = groups
         self._peers = peers
-        self._sync = sync
+        self._membership_sync = sync
         self._replace_after_s = replace_after_s
         self._clock = clock
         self._lost_deadlines: dict[str, float] = {}
@@ -143,7 +143,7 @@
                 not a voter of `group`.
             errors.LaburnumsillError: The root group refused the change.
         """
-        voters = self._sync.voters.get(group)
+        voters = self._membership_sync.voters.get(group)
         if voters is None:
             raise errors.UnknownNameError(f"unknown group {group!r}")
         if old not in voters:
@@ -174,7 +174,7 @@
                 )
         changes = []
         for old in lost_vms(self._vms, reachable, self._lost_deadlines, now):
-            for group, voters in self._sync.voters.items():
+            for group, voters in self._membership_sync.voters.items():
                 if old not in voters:
                     continue
                 new = choose_spare(self._vms, voters, old, reachable)
--- a/laburnumsill/daemon/settings.py
+++ b/laburnumsill/daemon/settings.py
@@ -141,42 +141,44 @@
     """
     path = pathlib.Path(path)
     tree = toml_files.read(path, InvalidSettingsError)
-    parsed = toml_files.validated(
+    settings_file = toml_files.validated(
         SettingsFile, tree, path, InvalidSettingsError
     )
-    vms = [_vm(entry) for entry in _entries(parsed, path)]
-    local_vm = _local_vm(parsed, vms, path)
-    _check_dial(parsed, vms, path)
-    _check_disk(parsed, local_vm, path)
-    folder = parsed.data_folder
+    vms = [_vm(entry) for entry in _entries(settings_file, path)]
+    local_vm = _local_vm(settings_file, vms, path)
+    _check_dial(settings_file, vms, path)
+    _check_disk(settings_file, local_vm, path)
+    folder = settings_file.data_folder
     return Settings(
         local_vm=local_vm,
         vms=vms,
         dial={
-            vm.vm_id: parsed.dial.get(vm.vm_id, vm.peer_address)
+            vm.vm_id: settings_file.dial.get(vm.vm_id, vm.peer_address)
             for vm in vms
             if vm is not local_vm
         },
-        listen_address=parsed.listen_address or local_vm.client_address,
+        listen_address=settings_file.listen_address or local_vm.client_address,
         data_folder=(path.parent / folder) if folder else None,
-        log_level=parsed.log_level,
-        replace_after_s=parsed.replace_after_s,
+        log_level=settings_file.log_level,
+        replace_after_s=settings_file.replace_after_s,
     )
 
 
-def _entries(parsed: SettingsFile, path: pathlib.Path) -> list[VmEntry]:
+def _entries(settings_file: SettingsFile, path: pathlib.Path) -> list[VmEntry]:
     """Returns the list of VMs from the file or from the list of VMs in it.
 
     Raises:
         InvalidSettingsError: Both or neither are given, or two VMs have the
             same id or address.
     """
-    if (parsed.vms_file is None) == (not parsed.vms):
+    if (settings_file.vms_file is None) == (not settings_file.vms):
         both = "either vms_file or a list of VMs"
-        raise InvalidSettingsError.at(path, "vms_file", parsed.vms_file, both)
-    entries = parsed.vms
-    if parsed.vms_file is not None:
-        path = path.parent / parsed.vms_file
+        raise InvalidSettingsError.at(
+            path, "vms_file", settings_file.vms_file, both
+        )
+    entries = settings_file.vms
+    if settings_file.vms_file is not None:
+        path = path.parent / settings_file.vms_file
         tree = toml_files.read(path, InvalidSettingsError)
         entries = toml_files.validated(
             VmsFile, tree, path, InvalidSettingsError
@@ -204,29 +206,29 @@
 
 
 def _local_vm(
-    parsed: SettingsFile, vms: list[topology.Vm], path: pathlib.Path
+    settings_file: SettingsFile, vms: list[topology.Vm], path: pathlib.Path
 ) -> topology.Vm:
     for vm in vms:
-        if vm.vm_id == parsed.vm_id:
+        if vm.vm_id == settings_file.vm_id:
             return vm
     known = "one of " + ", ".join(vm.vm_id for vm in vms)
-    raise InvalidSettingsError.at(path, "vm_id", parsed.vm_id, known)
+    raise InvalidSettingsError.at(path, "vm_id", settings_file.vm_id, known)
 
 
 def _check_dial(
-    parsed: SettingsFile, vms: list[topology.Vm], path: pathlib.Path
+    settings_file: SettingsFile, vms: list[topology.Vm], path: pathlib.Path
 ) -> None:
-    known = {vm.vm_id for vm in vms} - {parsed.vm_id}
-    for vm_id in parsed.dial:
+    known = {vm.vm_id for vm in vms} - {settings_file.vm_id}
+    for vm_id in settings_file.dial:
         if vm_id not in known:
             one_of = "one of " + ", ".join(sorted(known))
             raise InvalidSettingsError.at(path, "dial", vm_id, one_of)
 
 
 def _check_disk(
-    parsed: SettingsFile, local_vm: topology.Vm, path: pathlib.Path
+    settings_file: SettingsFile, local_vm: topology.Vm, path: pathlib.Path
 ) -> None:
-    folder = parsed.data_folder
+    folder = settings_file.data_folder
     if local_vm.has_disk and folder is None:
         needed = f"a folder, since {local_vm.vm_id} has a disk in the list"
         raise InvalidSettingsError.at(path, "data_folder", folder, needed)
--- a/laburnumsill/daemon/tests/test_configuration_lease.py
+++ b/laburnumsill/daemon/tests/test_configuration_lease.py
@@ -30,12 +30,12 @@
         )
         self.delay_s = 0.01
         self.has_slow_link = False
-        self.is_gone = False
+        self.is_down = False
 
     async def query(self, group, query, deadline):
-        if self.is_gone:
+        if self.is_down:
             await trio.sleep(deadline - trio.current_time())
-            raise errors.NoQuorumError("gone")
+            raise errors.NoQuorumError("no leader")
         await trio.sleep(self.delay_s)
         answer = await super().query(group, query, deadline)
         if self.has_slow_link:
@@ -98,14 +98,14 @@
     async def script(held, groups, lease):
         put(held, 1)
         await trio.sleep(1.0)
-        groups.is_gone = True
+        groups.is_down = True
         cut_at = trio.current_time()
         while lease.current is not None:  # noqa: ASYNC110
             await trio.sleep(0.01)
         elapsed_s = trio.current_time() - cut_at
         assert 2.5 < elapsed_s < 0.8 * REVOKED_MS / 1000
         assert not lease.fresh
-        groups.is_gone = False
+        groups.is_down = False
         await trio.sleep(1.5)
         assert lease.current.version == 1 and lease.fresh
 
@@ -174,7 +174,7 @@
     async def script(held, groups, lease):
         put(held, 1)
         await trio.sleep(1.0)
-        groups.is_gone = True
+        groups.is_down = True
         await trio.sleep(1.5)
         assert lease.current.version == 1 and not lease.may_refuse
 
--- a/laburnumsill/daemon/tests/test_configuration_sharing.py
+++ b/laburnumsill/daemon/tests/test_configuration_sharing.py
@@ -22,26 +22,26 @@
 
     def __init__(self):
         self.handlers = {}
-        self.gone = set()
+        self.unreachable = set()
 
     def on_call(self, request_type, handler):
         self.handlers[request_type] = handler
 
     async def call(self, vm, request, deadline):
-        if vm in self.gone:
+        if vm in self.unreachable:
             await trio.sleep(0.3)
             raise errors.PeerUnreachableError(vm)
         return await self.handlers[type(request)](request)
 
 
 class Leader(local_groups.LocalGroups):
-    """Groups that count queries of the leader and can be without a leader."""
+    """Access to the group; counts queries of the leader, which may be down."""
 
     def __init__(self, newest, replica):
         super().__init__({"site": replication.StateMachine(newest)})
         self._replica = replication.StateMachine(replica)
         self.queries = 0
-        self.is_lost = False
+        self.is_down = False
         self.delay_s = 0.01
 
     def local(self, group):
@@ -49,7 +49,7 @@
 
     async def query(self, group, query, deadline):
         self.queries += 1
-        if self.is_lost:
+        if self.is_down:
             await trio.sleep_until(deadline)
             raise errors.NoQuorumError("no leader")
         await trio.sleep(self.delay_s)
@@ -66,7 +66,7 @@
         self._peers = {}
         for vm, leader in leaders.items():
             self._peers[vm] = Peers()
-            configuration_sharing.SharedConfirmation(
+            configuration_sharing.ConfigurationResponder(
                 "site",
                 leader,
                 self._peers[vm],
@@ -79,6 +79,8 @@
 
 
 class Core:
+    """A VM of the core; its replica may be behind the leader's."""
+
     def __init__(self, replica_is_behind=False):
         self.newest = highest_version.HighestVersion()
         replica = self.newest
@@ -87,17 +89,17 @@
         self.replica = replica
         self.leader = Leader(self.newest, replica)
         self.peers = Peers()
-        self.sharing = configuration_sharing.SharedConfirmation(
+        self.sharing = configuration_sharing.ConfigurationResponder(
             "site", self.leader, self.peers, "north", trio_clock.TrioClock()
         )
         self.put(1)
         if replica_is_behind:
             self.put(1, self.replica)
 
-    def put(self, version, where=None):
+    def put(self, version, document=None):
         packed = highest_version.pack(b"%d" % version)
         command = highest_version.PutDocument(version, packed)
-        (where or self.newest).put(command)
+        (document or self.newest).put(command)
 
 
 def play(script):
@@ -118,12 +120,12 @@
 
 def test_leader_queries_do_not_grow_with_the_entries():
     async def script():
-        asked = []
+        query_counts = []
         for entries in (10, 100):
             core = Core()
             await ask_periodically(core, entries, 10.0)
-            asked.append(core.leader.queries)
-        assert asked[0] == asked[1] <= 10.0 / 0.4 + 2
+            query_counts.append(core.leader.queries)
+        assert query_counts[0] == query_counts[1] <= 10.0 / 0.4 + 2
 
     play(script)
 
@@ -162,7 +164,7 @@
 def test_concurrent_questions_fail_together_without_a_leader():
     async def script():
         core = Core()
-        core.leader.is_lost = True
+        core.leader.is_down = True
         failures = []
 
         async def ask():
@@ -176,7 +178,7 @@
         assert core.leader.queries == 1
         limit_s = configuration_sharing.LEADER_TIMEOUT_S
         assert max(failures) == pytest.approx(limit_s, abs=0.01)
-        core.leader.is_lost = False
+        core.leader.is_down = False
         await core.sharing.answer(QUESTION)
 
     play(script)
@@ -191,12 +193,12 @@
         )
         now = trio.current_time
         first = choice.next(("a", "b", "c"), now())
-        core.peers.gone.add(first)
+        core.peers.unreachable.add(first)
         for _ in range(2):  # the second query skips the failed VM
             answer = await source.ask(QUESTION.query, now() + 0.9)
             assert answer.newest_version == 1
         assert now() < 0.4
-        core.peers.gone |= {"a", "b", "c"}
+        core.peers.unreachable |= {"a", "b", "c"}
         with pytest.raises(errors.NoQuorumError):
             await source.ask(QUESTION.query, now() + 0.9)
 
@@ -224,10 +226,10 @@
             nursery.start_soon(lease.run)
             await trio.sleep(2.0)
             assert lease.may_refuse
-            core.peers.gone.add(choice.next(("a", "b", "c"), 2.0))
-            core.leader.is_lost = True
+            core.peers.unreachable.add(choice.next(("a", "b", "c"), 2.0))
+            core.leader.is_down = True
             await trio.sleep(lost_s)
-            core.leader.is_lost = False
+            core.leader.is_down = False
             await trio.sleep(1.0)
             assert lease.may_refuse
             nursery.cancel_scope.cancel()
--- a/laburnumsill/daemon/tests/test_configuration_sync.py
+++ b/laburnumsill/daemon/tests/test_configuration_sync.py
@@ -1,3 +1,5 @@
+"""Distribution of the version in force, restarts and damaged files."""
+
 import contextlib
 import dataclasses
 import os
@@ -26,13 +28,15 @@
 class Peers(replication.Peers):
     """Peers in one process; those in `cut` neither receive nor send."""
 
-    def __init__(self, net, cut, me):
-        self.me, self.net, self.cut = me, net, cut
+    def __init__(self, net, cut, local_vm_id):
+        self.local_vm_id, self.net, self.cut = local_vm_id, net, cut
         self.calls, self.notices = {}, {}
-        net[me] = self
+        net[local_vm_id] = self
 
     def _cut(self, vm):
-        return vm in self.cut or self.me in self.cut or vm not in self.net
+        return (
+            vm in self.cut or self.local_vm_id in self.cut or vm not in self.net
+        )
 
     async def call(self, vm, request, deadline):
         await trio.lowlevel.checkpoint()
--- a/laburnumsill/daemon/tests/test_configuration_travel.py
+++ b/laburnumsill/daemon/tests/test_configuration_travel.py
@@ -111,7 +111,7 @@
             sync._accepted = support.dataclasses.replace(
                 sync._accepted, body=b"{}"
             )
-            sync._opened = None
+            sync._parsed_version = None
         net.push()
         await trio.sleep(2)
         assert net.versions() == [2] * 4
--- a/laburnumsill/daemon/tests/test_light_server.py
+++ b/laburnumsill/daemon/tests/test_light_server.py
@@ -23,15 +23,15 @@
         self.address = f"127.0.0.1:{ports.free_ports(1)[0]}"
         self.scopes = []
         self.bodies = []
-        self.hold = trio.Event()
-        self.begun = trio.Semaphore(0)
-        self.left = trio.Event()
+        self.resume = trio.Event()
+        self.request_started = trio.Semaphore(0)
+        self.disconnected = trio.Event()
         self.answer = b"answer"
-        self.answered = trio.Event()
+        self.response_ended = trio.Event()
 
     async def app(self, scope, receive, send) -> None:
         self.scopes.append(scope)
-        self.begun.release()
+        self.request_started.release()
         if scope["path"] == "/fails":
             raise ValueError("a fault of the application")
         if scope["path"] == "/early":
@@ -40,14 +40,14 @@
         try:
             self.bodies.append(await http.read_body(receive))
         except http.DisconnectedError:
-            self.left.set()
+            self.disconnected.set()
             return
         if scope["path"] == "/held":
-            await self.hold.wait()
+            await self.resume.wait()
         try:
             await http.send_answer(send, http.Answer(200, self.answer))
         finally:
-            self.answered.set()
+            self.response_ended.set()
 
     async def run(self, task_status) -> None:
         serve = functools.partial(light_server.serve, task_status=task_status)
@@ -60,6 +60,8 @@
 
 
 class Caller:
+    """One connection of a caller."""
+
     def __init__(self, stream) -> None:
         self.stream = stream
 
@@ -67,20 +69,20 @@
         await self.stream.send_all(text.encode())
 
     async def until(self, text: str) -> str:
-        got = b""
+        received = b""
         with trio.fail_after(5):
-            while text.encode() not in got:
-                piece = await self.stream.receive_some()
-                assert piece, got
-                got += piece
-        return got.decode()
+            while text.encode() not in received:
+                chunk = await self.stream.receive_some()
+                assert chunk, received
+                received += chunk
+        return received.decode()
 
     async def until_closed(self) -> str:
-        got = b""
+        received = b""
         with trio.fail_after(5):
-            while piece := await self.stream.receive_some():
-                got += piece
-        return got.decode()
+            while chunk := await self.stream.receive_some():
+                received += chunk
+        return received.decode()
 
 
 @contextlib.asynccontextmanager
@@ -113,8 +115,8 @@
     async with served() as site:
         caller = await site.connect()
         await caller.send(GET.format("/1") + GET.format("/2"))
-        got = await caller.until("answer")
-        if got.count("answer") == 1:
+        received = await caller.until("answer")
+        if received.count("answer") == 1:
             await caller.until("answer")
         assert [scope["path"] for scope in site.scopes] == ["/1", "/2"]
 
@@ -220,7 +222,7 @@
         await trio.sleep(0.02)
         await caller.stream.aclose()
         with trio.fail_after(5):
-            await site.left.wait()
+            await site.disconnected.wait()
 
 
 async def test_an_idle_connection_is_closed_after_the_timeout(monkeypatch):
@@ -237,11 +239,11 @@
         await idle.until("answer")
         busy = await site.connect()
         await busy.send(GET.format("/held"))
-        await site.begun.acquire()
-        await site.begun.acquire()
+        await site.request_started.acquire()
+        await site.request_started.acquire()
         site.stop.set()
         assert await idle.until_closed() == ""
-        site.hold.set()
+        site.resume.set()
         assert "answer" in await busy.until_closed()
         with trio.fail_after(5):
             await site.ended.wait()
@@ -251,7 +253,7 @@
     async with served() as site:
         busy = await site.connect()
         await busy.send(GET.format("/held"))
-        await site.begun.acquire()
+        await site.request_started.acquire()
         began = trio.current_time()
         site.stop.set()
         with trio.fail_after(5):
@@ -266,6 +268,6 @@
         site.answer = b"x" * 40_000_000
         caller = await site.connect()
         await caller.send(GET.format("/"))
-        await site.begun.acquire()
+        await site.request_started.acquire()
         with trio.fail_after(5):
-            await site.answered.wait()
+            await site.response_ended.wait()
--- a/laburnumsill/daemon/tests/test_role_settings.py
+++ b/laburnumsill/daemon/tests/test_role_settings.py
@@ -1,3 +1,5 @@
+"""Parsing, validation and reloading of the settings of a role."""
+
 import pathlib
 
 import pytest
--- a/laburnumsill/daemon/tests/test_settings.py
+++ b/laburnumsill/daemon/tests/test_settings.py
@@ -1,3 +1,5 @@
+"""Parsing and validation of the settings of a daemon."""
+
 import pathlib
 
 import pytest
