--- a/laburnumsill/daemon/tests/test_light_server.py
+++ b/laburnumsill/daemon/tests/test_light_server.py
@@ -249,7 +249,7 @@
             await site.ended.wait()
 
 
-async def test_shutdown_waits_for_the_grace_period():
+async def test_shutdown_ends_open_requests_after_the_grace_period():
     async with served() as site:
         busy = await site.connect()
         await busy.send(GET.format("/held"))
