--- a/laburnumsill/daemon/tests/test_light_server.py
+++ b/laburnumsill/daemon/tests/test_light_server.py
@@ -1,3 +1,5 @@
+"""HTTP/1.1 conformance, timeouts and shutdown of the light server."""
+
 import contextlib
 import functools
 
@@ -21,15 +23,15 @@
         self.address = f"127.0.0.1:{ports.free_ports(1)[0]}"
         self.scopes = []
         self.bodies = []
-        self.hold = trio.Event()
-        self.begun = trio.Semaphore(0)
-        self.left = trio.Event()
+        self.resume = trio.Event()
+        self.request_started = trio.Semaphore(0)
+        self.disconnected = trio.Event()
         self.answer = b"answer"
-        self.answered = trio.Event()
+        self.response_ended = trio.Event()
 
     async def app(self, scope, receive, send) -> None:
         self.scopes.append(scope)
-        self.begun.release()
+        self.request_started.release()
         if scope["path"] == "/fails":
             raise ValueError("a fault of the application")
         if scope["path"] == "/early":
@@ -38,14 +40,14 @@
         try:
             self.bodies.append(await http.read_body(receive))
         except http.DisconnectedError:
-            self.left.set()
+            self.disconnected.set()
             return
         if scope["path"] == "/held":
-            await self.hold.wait()
+            await self.resume.wait()
         try:
             await http.send_answer(send, http.Answer(200, self.answer))
         finally:
-            self.answered.set()
+            self.response_ended.set()
 
     async def run(self, task_status) -> None:
         serve = functools.partial(light_server.serve, task_status=task_status)
@@ -58,6 +60,8 @@
 
 
 class Caller:
+    """One connection of a caller."""
+
     def __init__(self, stream) -> None:
         self.stream = stream
 
@@ -65,20 +69,20 @@
         await self.stream.send_all(text.encode())
 
     async def until(self, text: str) -> str:
-        got = b""
+        received = b""
         with trio.fail_after(5):
-            while text.encode() not in got:
-                piece = await self.stream.receive_some()
-                assert piece, got
-                got += piece
-        return got.decode()
+            while text.encode() not in received:
+                chunk = await self.stream.receive_some()
+                assert chunk, received
+                received += chunk
+        return received.decode()
 
     async def until_closed(self) -> str:
-        got = b""
+        received = b""
         with trio.fail_after(5):
-            while piece := await self.stream.receive_some():
-                got += piece
-        return got.decode()
+            while chunk := await self.stream.receive_some():
+                received += chunk
+        return received.decode()
 
 
 @contextlib.asynccontextmanager
@@ -111,13 +115,13 @@
     async with served() as site:
         caller = await site.connect()
         await caller.send(GET.format("/1") + GET.format("/2"))
-        got = await caller.until("answer")
-        if got.count("answer") == 1:
+        received = await caller.until("answer")
+        if received.count("answer") == 1:
             await caller.until("answer")
         assert [scope["path"] for scope in site.scopes] == ["/1", "/2"]
 
 
-async def test_a_body_comes_whole_by_length_or_in_chunks():
+async def test_body_is_complete_by_length_or_in_chunks():
     async with served() as site:
         caller = await site.connect()
         await caller.send(
@@ -135,7 +139,7 @@
         assert site.bodies == [b"abcdef", b"abcde"]
 
 
-async def test_a_caller_that_waits_is_told_to_go_on():
+async def test_expect_100_continue_is_answered():
     async with served() as site:
         caller = await site.connect()
         await caller.send(
@@ -148,7 +152,7 @@
         assert site.bodies == [b"x"]
 
 
-async def test_an_answer_to_head_has_no_body():
+async def test_a_response_to_head_has_no_body():
     async with served() as site:
         caller = await site.connect()
         await caller.send("HEAD / HTTP/1.1\r\nhost: h\r\n\r\n")
@@ -166,7 +170,7 @@
         (f"GET / HTTP/1.1\r\nhost: h\r\nx: {'y' * 100_000}\r\n\r\n", 431),
     ],
 )
-async def test_what_is_no_request_is_refused(sent, status):
+async def test_invalid_http_is_rejected(sent, status):
     async with served() as site:
         caller = await site.connect()
         with contextlib.suppress(trio.BrokenResourceError):
@@ -177,7 +181,7 @@
         await other.until("answer")
 
 
-async def test_a_request_after_bytes_that_make_no_sense_is_not_run():
+async def test_no_request_is_served_after_invalid_headers():
     async with served() as site:
         caller = await site.connect()
         await caller.send(
@@ -188,7 +192,7 @@
         assert not site.scopes
 
 
-async def test_a_failure_of_the_application_is_answered():
+async def test_a_failure_of_the_application_is_answered_with_500():
     async with served() as site:
         caller = await site.connect()
         await caller.send(GET.format("/fails"))
@@ -198,7 +202,7 @@
         await other.until("answer")
 
 
-async def test_an_early_answer_arrives_though_the_body_goes_on():
+async def test_an_early_response_arrives_while_the_body_is_sent():
     async with served() as site:
         caller = await site.connect()
         await caller.send(PUT.format("/early", 200_000))
@@ -209,7 +213,7 @@
         await caller.until("answer")
 
 
-async def test_a_caller_that_goes_away_ends_its_request():
+async def test_a_disconnect_of_the_caller_ends_the_request():
     async with served() as site:
         caller = await site.connect()
         await caller.send(
@@ -218,38 +222,38 @@
         await trio.sleep(0.02)
         await caller.stream.aclose()
         with trio.fail_after(5):
-            await site.left.wait()
+            await site.disconnected.wait()
 
 
-async def test_a_connection_without_requests_is_closed_in_the_end(monkeypatch):
+async def test_an_idle_connection_is_closed_after_the_timeout(monkeypatch):
     monkeypatch.setattr(light_server, "KEEP_ALIVE_S", 0.05)
     async with served() as site:
         caller = await site.connect()
         assert await caller.until_closed() == ""
 
 
-async def test_a_shutdown_ends_idle_connections_and_answers_those_in_flight():
+async def test_shutdown_closes_idle_connections_and_completes_requests():
     async with served() as site:
         idle = await site.connect()
         await idle.send(GET.format("/"))
         await idle.until("answer")
         busy = await site.connect()
         await busy.send(GET.format("/held"))
-        await site.begun.acquire()
-        await site.begun.acquire()
+        await site.request_started.acquire()
+        await site.request_started.acquire()
         site.stop.set()
         assert await idle.until_closed() == ""
-        site.hold.set()
+        site.resume.set()
         assert "answer" in await busy.until_closed()
         with trio.fail_after(5):
             await site.ended.wait()
 
 
-async def test_a_shutdown_waits_no_longer_than_its_grace():
+async def test_shutdown_ends_open_requests_after_the_grace_period():
     async with served() as site:
         busy = await site.connect()
         await busy.send(GET.format("/held"))
-        await site.begun.acquire()
+        await site.request_started.acquire()
         began = trio.current_time()
         site.stop.set()
         with trio.fail_after(5):
@@ -257,13 +261,13 @@
         assert trio.current_time() - began >= GRACE_S
 
 
-async def test_a_caller_that_never_reads_is_given_up(monkeypatch):
-    """It would keep its descriptor, and the answer in memory, for ever."""
-    monkeypatch.setattr(light_server, "READ_WITHIN_S", 0.2)
+async def test_connection_of_a_caller_that_never_reads_is_closed(monkeypatch):
+    """Otherwise the socket and the response in memory would never be freed."""
+    monkeypatch.setattr(light_server, "SEND_TIMEOUT_S", 0.2)
     async with served() as site:
         site.answer = b"x" * 40_000_000
         caller = await site.connect()
         await caller.send(GET.format("/"))
-        await site.begun.acquire()
+        await site.request_started.acquire()
         with trio.fail_after(5):
-            await site.answered.wait()
+            await site.response_ended.wait()
