--- a/laburnumsill/explain/__init__.py
+++ b/laburnumsill/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Why jobs were late: read from the structured logs of a site's VMs."""
+"""Explains from the logs of a site's VMs why its jobs were late."""
--- a/laburnumsill/explain/causes.py
+++ b/laburnumsill/explain/causes.py
@@ -1,4 +1,4 @@
-"""Splits the time of a job by what it was spent on."""
+"""Splits the time between submission and end of a job by cause."""
 
 import dataclasses
 import enum
@@ -8,19 +8,19 @@
 
 
 class Cause(enum.StrEnum):
-    """What a part of a job's time was spent on.
+    """Cause of a part of a job's time.
 
     Attributes:
-        HAND_IN: Calls that were refused or not answered, and coming back.
-        NO_LEADER: It waited while no VM scheduled.
-        STOPS: It waited until runs had ended that were stopped for it.
-        ROOM: It waited for room.
-        STARTING: Placed, until all of its workers had begun.
-        STOPPED: A run that was told to stop.
+        HAND_IN: Submission, from the first attempt until one was accepted.
+        NO_LEADER: The job waited while no scheduler was active.
+        STOPS: The job waited for the end of runs that it preempted.
+        ROOM: The job waited for free capacity.
+        STARTING: From the placement until all tasks of the gang had started.
+        STOPPED: A run that the scheduler stopped.
         FAILED: A run that failed.
         LOST: A run that was lost with its worker, its lease or its gang.
-        RUNNING: The run that was done.
-        UNKNOWN: The logs do not say.
+        RUNNING: The run that completed its task.
+        UNKNOWN: Time that the logs do not account for.
     """
 
     HAND_IN = "hand-in"
@@ -42,8 +42,8 @@
     Attributes:
         begin: Unix seconds.
         end: Unix seconds.
-        cause: What it was spent on.
-        detail: More of it, for people.
+        cause: Its cause.
+        detail: Free text for display, such as the worker or the obstacle.
     """
 
     begin: float
@@ -53,128 +53,131 @@
 
     @property
     def seconds(self) -> float:
-        """How long it is."""
+        """Length in seconds."""
         return self.end - self.begin
 
 
 def spans_of(
     job: stories.JobStory, site: stories.SiteStory
 ) -> abc.Sequence[Span]:
-    """Returns a job's time from its first hand-in to its end, in parts.
+    """Returns the time from a job's first submission to its end, in parts.
 
-    Of each step the task counts that was done last: the others were done by
-    then. What is not accounted for by the logs is `Cause.UNKNOWN`.
+    Each step is represented by its task that completed last, since the step
+    ended with it. Time that the logs do not account for is `Cause.UNKNOWN`.
     """
-    found = list(_hand_in_spans(job))
+    spans = list(_submission_spans(job))
     at = job.accepted_at
     if at is None:
-        return found
-    room_for = site.stops_for.get(job.job_id, ())
+        return spans
+    preempted = site.preempted_by.get(job.job_id, ())
     for runs in _critical_runs(job):
         for run in runs:
             if run.placed_at > at:
-                found += _waiting_spans(job, run, at, room_for, site.leads)
+                spans += _waiting_spans(
+                    job, run, at, preempted, site.leaderships
+                )
                 at = run.placed_at
             for span in _run_spans(job, run, at):
-                found.append(span)
+                spans.append(span)
                 at = span.end
     if job.ended_at is not None and job.ended_at > at:
-        found.append(Span(at, job.ended_at, Cause.UNKNOWN))
-    return [span for span in found if span.seconds > 0]
+        spans.append(Span(at, job.ended_at, Cause.UNKNOWN))
+    return [span for span in spans if span.seconds > 0]
 
 
 def late_by_s(job: stories.JobStory, spans: abc.Sequence[Span]) -> float | None:
     """Returns by how much a job missed its objective, None if unknown.
 
-    Its work counts as long as its last runs took. On a slow worker that is
-    more than it would have been elsewhere, so a job may be late without this.
+    The work of the job is taken to be the time of its completed runs. On a
+    slow worker this overestimates the work and thus the objective, so a job
+    that was late may not appear so here.
     """
-    came_at = job.came_at
-    if came_at is None or job.ended_at is None or not job.stretch:
+    submitted_at = job.submitted_at
+    if submitted_at is None or job.ended_at is None or not job.stretch:
         return None
-    work_s = sum(one.seconds for one in spans if one.cause is Cause.RUNNING)
+    work_s = sum(span.seconds for span in spans if span.cause is Cause.RUNNING)
     objective_s = job.stretch * work_s + job.target_ms / 1000
-    return job.ended_at - came_at - objective_s
+    return job.ended_at - submitted_at - objective_s
 
 
-def _hand_in_spans(job: stories.JobStory) -> abc.Iterator[Span]:
-    """Yields the time from the first call until the job was taken in."""
-    came_at, accepted_at = job.came_at, job.accepted_at
-    if came_at is None:
+def _submission_spans(job: stories.JobStory) -> abc.Iterator[Span]:
+    """Yields the span from the first submission until the job was accepted."""
+    submitted_at, accepted_at = job.submitted_at, job.accepted_at
+    if submitted_at is None:
         return
-    reasons = [one.reason for one in job.hand_ins if not one.accepted]
+    reasons = [call.reason for call in job.submissions if not call.accepted]
     if accepted_at is None:
-        accepted_at = job.hand_ins[-1].ended_at
-    yield Span(came_at, accepted_at, Cause.HAND_IN, ",".join(reasons))
+        accepted_at = job.submissions[-1].answered_at
+    yield Span(submitted_at, accepted_at, Cause.HAND_IN, ",".join(reasons))
 
 
 def _critical_runs(
     job: stories.JobStory,
-) -> abc.Iterator[abc.Sequence[stories.RunStory]]:
-    """Yields, step by step, the runs of the task that was done last."""
-    last: dict[str, stories.RunStory] = {}
+) -> abc.Iterator[abc.Sequence[stories.RunHistory]]:
+    """Yields for each step the runs of the task that completed last."""
+    last: dict[str, stories.RunHistory] = {}
     for run in job.runs.values():
-        known = last.get(run.step)
-        if known is None or _done_at(run) > _done_at(known):
+        latest = last.get(run.step)
+        if latest is None or _done_at(run) > _done_at(latest):
             last[run.step] = run
-    for run in sorted(last.values(), key=lambda one: one.placed_at):
+    for run in sorted(last.values(), key=lambda other: other.placed_at):
         yield sorted(
-            (one for one in job.runs.values() if one.task == run.task),
-            key=lambda one: one.number,
+            (other for other in job.runs.values() if other.task == run.task),
+            key=lambda other: other.number,
         )
 
 
-def _done_at(run: stories.RunStory) -> float:
+def _done_at(run: stories.RunHistory) -> float:
     return run.ended_at or 0.0 if run.end == "done" else 0.0
 
 
 def _waiting_spans(
     job: stories.JobStory,
-    run: stories.RunStory,
+    run: stories.RunHistory,
     begin: float,
-    room_for: abc.Sequence[stories.RunStory],
-    leads: abc.Sequence[stories.Lead],
+    preempted: abc.Sequence[stories.RunHistory],
+    leaderships: abc.Sequence[stories.Leadership],
 ) -> abc.Iterator[Span]:
-    """Yields what a task waited for until it was placed."""
+    """Yields the spans in which a task waited to be placed, by cause."""
     end = run.placed_at
-    for before, after in zip(leads, leads[1:], strict=False):
-        gap_begin, gap_end = max(begin, before.last_at), after.began_at
+    for before, after in zip(leaderships, leaderships[1:], strict=False):
+        gap_begin, gap_end = max(begin, before.last_event_at), after.started_at
         if gap_begin < end and gap_end > begin and gap_end > gap_begin:
-            yield from _room_spans(job, run, begin, gap_begin, room_for)
+            yield from _capacity_spans(job, run, begin, gap_begin, preempted)
             yield Span(gap_begin, min(gap_end, end), Cause.NO_LEADER)
             begin = min(gap_end, end)
-    yield from _room_spans(job, run, begin, end, room_for)
+    yield from _capacity_spans(job, run, begin, end, preempted)
 
 
-def _room_spans(
+def _capacity_spans(
     job: stories.JobStory,
-    run: stories.RunStory,
+    run: stories.RunHistory,
     begin: float,
     end: float,
-    room_for: abc.Sequence[stories.RunStory],
+    preempted: abc.Sequence[stories.RunHistory],
 ) -> abc.Iterator[Span]:
-    """Yields waiting for room, and for the stops that were to make it."""
+    """Yields the wait for free capacity and the wait for preempted runs."""
     if end <= begin:
         return
-    stopping = [
-        one.stop_at
-        for one in room_for
-        if one.stop_at is not None and begin <= one.stop_at < end
+    stop_times = [
+        victim.stop_at
+        for victim in preempted
+        if victim.stop_at is not None and begin <= victim.stop_at < end
     ]
-    first = min(stopping, default=end)
+    first = min(stop_times, default=end)
     obstacles = [
-        one.text
-        for one in job.obstacles
-        if one.step == run.step and begin <= one.at <= end
+        obstacle.text
+        for obstacle in job.obstacles
+        if obstacle.step == run.step and begin <= obstacle.at <= end
     ]
     yield Span(begin, first, Cause.ROOM, obstacles[0] if obstacles else "")
-    yield Span(first, end, Cause.STOPS, f"{len(stopping)} runs")
+    yield Span(first, end, Cause.STOPS, f"{len(stop_times)} runs")
 
 
 def _run_spans(
-    job: stories.JobStory, run: stories.RunStory, begin: float
+    job: stories.JobStory, run: stories.RunHistory, begin: float
 ) -> abc.Iterator[Span]:
-    """Yields one run: until all had begun, and from then on."""
+    """Yields a run's span until its gang had started, and that to its end."""
     started_at = _started_at(job, run)
     end = run.ended_at
     if end is None:
@@ -190,20 +193,20 @@
     yield Span(started_at, end, _cause_of_end(run), detail)
 
 
-def _started_at(job: stories.JobStory, run: stories.RunStory) -> float | None:
-    """Returns when a run began, that of a gang with its last member."""
+def _started_at(job: stories.JobStory, run: stories.RunHistory) -> float | None:
+    """Returns the start of a run; a gang starts with its last task."""
     if not run.gang:
         return run.started_at
-    begun = [
-        one.started_at
-        for one in job.runs.values()
-        if (one.step, one.number) == (run.step, run.number)
+    starts = [
+        other.started_at
+        for other in job.runs.values()
+        if (other.step, other.number) == (run.step, run.number)
     ]
-    known = [at for at in begun if at is not None]
-    return max(known) if len(known) == len(begun) else None
+    known = [at for at in starts if at is not None]
+    return max(known) if len(known) == len(starts) else None
 
 
-def _cause_of_end(run: stories.RunStory) -> Cause:
+def _cause_of_end(run: stories.RunHistory) -> Cause:
     if run.end == "done":
         return Cause.RUNNING
     if run.end == "failed":
--- a/laburnumsill/explain/lines.py
+++ b/laburnumsill/explain/lines.py
@@ -1,4 +1,4 @@
-"""Reads the lines that `core.logs` writes back into events."""
+"""Parses the log lines that `core.logs` writes."""
 
 import dataclasses
 import datetime
@@ -9,8 +9,8 @@
 _ESCAPED = re.compile(r"\\(.)")
 _BY_ESCAPE = {"n": "\n", "r": "\r"}
 
-_START = "time="
-"""What collectors of logs put before a line ends here."""
+_LINE_START = "time="
+"""Start of the part that `core.logs` wrote; log collectors add prefixes."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -18,10 +18,10 @@
     """One line of a log.
 
     Attributes:
-        at: When, in Unix seconds by the clock of its VM.
-        vm: Who wrote it.
-        name: What happened.
-        fields: All pairs of the line.
+        at: Unix seconds by the clock of the VM.
+        vm: The VM that wrote the line.
+        name: The name of the event.
+        fields: All keys and values of the line.
     """
 
     at: float
@@ -30,31 +30,31 @@
     fields: abc.Mapping[str, str]
 
     def text(self, name: str) -> str:
-        """Returns a field, "" if the line lacks it."""
+        """Returns the value of a key, "" if the line lacks it."""
         return self.fields.get(name, "")
 
     def number(self, name: str) -> float:
-        """Returns a field as a number, 0 if the line has none there."""
+        """Returns the value of a key as a number, 0 if it is not a number."""
         try:
             return float(self.fields.get(name, ""))
         except ValueError:
             return 0.0
 
 
-def event_of(line: str) -> Event | None:
-    """Returns the event that a line tells of, None for any other line.
+def parse_event(line: str) -> Event | None:
+    """Returns the event of a line, None if the line is not an event.
 
     Examples:
-        >>> event_of("time=1970-01-01T00:00:02.500Z event=signal vm=a").at
+        >>> parse_event("time=1970-01-01T00:00:02.500Z event=signal vm=a").at
         2.5
-        >>> event_of("Traceback (most recent call last):") is None
+        >>> parse_event("Traceback (most recent call last):") is None
         True
     """
-    start = line.find(_START)
+    start = line.find(_LINE_START)
     if start < 0:
         return None
     fields = {
-        name: _plain(value) for name, value in _PAIR.findall(line[start:])
+        name: _unquote(value) for name, value in _PAIR.findall(line[start:])
     }
     try:
         moment = datetime.datetime.fromisoformat(fields.get("time", ""))
@@ -68,13 +68,15 @@
 
 
 def events_of(lines: abc.Iterable[str]) -> list[Event]:
-    """Returns the events of lines of any VMs, in the order of their times."""
-    found = [event for line in lines if (event := event_of(line)) is not None]
-    return sorted(found, key=lambda event: event.at)
+    """Returns the events of log lines of any VMs, sorted by time."""
+    events = [
+        event for line in lines if (event := parse_event(line)) is not None
+    ]
+    return sorted(events, key=lambda event: event.at)
 
 
-def _plain(value: str) -> str:
-    """Returns a value without its quotes, as it was before it was written."""
+def _unquote(value: str) -> str:
+    """Returns a value without quotes and escapes."""
     if not value.startswith('"'):
         return value
     return _ESCAPED.sub(
--- a/laburnumsill/explain/stories.py
+++ b/laburnumsill/explain/stories.py
@@ -1,4 +1,4 @@
-"""What the logs tell of each job: its hand-ins, its runs and its end."""
+"""Reconstructs the history of jobs and schedulers from log events."""
 
 import dataclasses
 from collections import abc
@@ -9,41 +9,41 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandIn:
-    """One call that handed a job in.
+class Submission:
+    """One request that submitted a job.
 
     Attributes:
-        began_at: When it came, Unix seconds.
-        ended_at: When it was answered.
-        vm: Who answered.
-        accepted: Whether the job was taken in.
-        reason: Why not, "" if it was.
+        received_at: Time of the request, Unix seconds.
+        answered_at: Time of the answer, Unix seconds.
+        vm: The VM that answered.
+        accepted: Whether the job was accepted.
+        reason: The reason for a refusal, "" if the job was accepted.
     """
 
-    began_at: float
-    ended_at: float
+    received_at: float
+    answered_at: float
     vm: str
     accepted: bool
     reason: str
 
 
 @dataclasses.dataclass(slots=True)
-class RunStory:
-    """One run of one task.
+class RunHistory:
+    """History of one run of a task.
 
     Attributes:
-        step: Which step, `occurrence.number`.
-        task: The name of the task.
-        number: Which run of it.
-        worker: Where it was placed.
-        placed_at: When, Unix seconds.
-        gang: Whether it works only together with the others of its step.
-        started_at: When its worker had begun it, None if that is not known.
-        ended_at: When its end was noted, None if none was.
-        end: How it ended, "" if that is not known.
-        stop_reason: Why it was told to stop, "" if it was not.
-        stop_at: When it was told so.
-        stopped_for: The job that needed its room, "" if that was not why.
+        step: The step, as `occurrence.number`.
+        task: The id of the task.
+        number: The number of the run among the runs of its task.
+        worker: The worker that it was placed on.
+        placed_at: Time of the placement, Unix seconds.
+        gang: Whether all tasks of its step run together.
+        started_at: Time of its start on the worker, None if unknown.
+        ended_at: Time at which its end was recorded, None before that.
+        end: The kind of its end, "" if unknown.
+        stop_reason: Why the scheduler stopped it, "" if it did not.
+        stop_at: Time of the order to stop, None without one.
+        stopped_for: The job that preempted it, "" if none did.
     """
 
     step: str
@@ -62,12 +62,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Obstacle:
-    """What stood in the way of a step that waited.
+    """A reason of the planner for not placing a step.
 
     Attributes:
-        at: When it was written, Unix seconds.
-        step: Which step, `occurrence.number`.
-        text: What it was, in the planner's words.
+        at: Time of the log line, Unix seconds.
+        step: The step, as `occurrence.number`.
+        text: The obstacle as the planner logged it.
     """
 
     at: float
@@ -77,26 +77,26 @@
 
 @dataclasses.dataclass(slots=True)
 class JobStory:
-    """All that is known of one job.
+    """History of one job.
 
     Attributes:
-        job_id: The job.
+        job_id: The id of the job.
         queue: Its queue.
         account: Its client account.
-        hand_ins: Calls that handed it in, in order.
-        runs: By the name that the logs give them.
-        obstacles: What was written while steps of it waited.
-        ended_at: When its end was committed, None if that is not known.
-        state: How it ended.
-        stretch: Its objective is this multiple of its work, and `target_ms`.
+        submissions: Requests that submitted it, in order.
+        runs: Its runs by run id.
+        obstacles: Obstacles logged while its steps waited.
+        ended_at: Time at which its end was committed, None if unknown.
+        state: Its final state, "" if unknown.
+        stretch: Its objective is `stretch` times its work plus `target_ms`.
         target_ms: See `stretch`.
     """
 
     job_id: str
     queue: str = ""
     account: str = ""
-    hand_ins: list[HandIn] = dataclasses.field(default_factory=list)
-    runs: dict[str, RunStory] = dataclasses.field(default_factory=dict)
+    submissions: list[Submission] = dataclasses.field(default_factory=list)
+    runs: dict[str, RunHistory] = dataclasses.field(default_factory=dict)
     obstacles: list[Obstacle] = dataclasses.field(default_factory=list)
     ended_at: float | None = None
     state: str = ""
@@ -104,86 +104,98 @@
     target_ms: float = 0.0
 
     @property
-    def came_at(self) -> float | None:
-        """When it was first handed in, None if the logs do not say."""
-        return self.hand_ins[0].began_at if self.hand_ins else None
+    def submitted_at(self) -> float | None:
+        """Time of the first submission, None if the logs contain none."""
+        return self.submissions[0].received_at if self.submissions else None
 
     @property
     def accepted_at(self) -> float | None:
-        """When it was taken in, None if it was not."""
-        taken = [one.ended_at for one in self.hand_ins if one.accepted]
+        """Time of the acceptance or the first placement, None before both."""
+        answers = [
+            call.answered_at for call in self.submissions if call.accepted
+        ]
         placed = [run.placed_at for run in self.runs.values()]
-        return min((*taken, *placed), default=None)
+        return min((*answers, *placed), default=None)
 
 
 @dataclasses.dataclass(slots=True)
-class Lead:
-    """A time in which one VM scheduled.
+class Leadership:
+    """A period in which the scheduler of one VM was active.
 
     Attributes:
-        vm: Which.
-        began_at: When its scheduler began, Unix seconds.
-        last_at: When it last said something as the leader.
+        vm: The VM.
+        started_at: Start of its scheduler, Unix seconds.
+        last_event_at: Time of its last event as the leader.
     """
 
     vm: str
-    began_at: float
-    last_at: float
+    started_at: float
+    last_event_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SiteStory:
-    """What the logs tell of a site.
+    """History of a site.
 
     Attributes:
-        jobs: By id.
-        leads: In order.
+        jobs: Jobs by id.
+        leaderships: Leaderships in order.
         domains: Failure domains by VM.
-        stops_for: By job, the runs that were stopped to make room for it.
+        preempted_by: The runs that each job preempted, by job id.
     """
 
     jobs: abc.Mapping[str, JobStory]
-    leads: abc.Sequence[Lead]
+    leaderships: abc.Sequence[Leadership]
     domains: abc.Mapping[str, str]
-    stops_for: abc.Mapping[str, abc.Sequence[RunStory]]
+    preempted_by: abc.Mapping[str, abc.Sequence[RunHistory]]
 
     def domain_of(self, job: JobStory) -> str:
-        """Returns the failure domain in which a job was first handed in."""
-        return self.domains.get(job.hand_ins[0].vm, "") if job.hand_ins else ""
+        """Returns the failure domain to which a job was first submitted."""
+        return (
+            self.domains.get(job.submissions[0].vm, "")
+            if job.submissions
+            else ""
+        )
 
 
 def story_of(events: abc.Iterable[lines.Event]) -> SiteStory:
-    """Returns what events, in their order, tell of a site."""
-    reader = _Reader()
+    """Returns the history of a site from its events, sorted by time."""
+    builder = _HistoryBuilder()
     for event in events:
-        reader.take(event)
+        builder.add(event)
     return SiteStory(
-        reader.jobs, reader.leads, reader.domains, _stops_for(reader.jobs)
+        builder.jobs,
+        builder.leaderships,
+        builder.domains,
+        _preempted_by(builder.jobs),
     )
 
 
-def _stops_for(jobs: abc.Mapping[str, JobStory]) -> dict[str, list[RunStory]]:
-    found: dict[str, list[RunStory]] = {}
+def _preempted_by(
+    jobs: abc.Mapping[str, JobStory],
+) -> dict[str, list[RunHistory]]:
+    """Returns the runs that each job preempted, by job id."""
+    victims: dict[str, list[RunHistory]] = {}
     for job in jobs.values():
         for run in job.runs.values():
             if run.stopped_for:
-                found.setdefault(run.stopped_for, []).append(run)
-    return found
+                victims.setdefault(run.stopped_for, []).append(run)
+    return victims
 
 
-_OF_THE_LEADER = frozenset(
+_LEADER_EVENTS = frozenset(
     {"run-placed", "run-started", "run-ended", "run-stop", "unit-waits"}
 )
-"""Events that only a leading scheduler writes, all the time."""
+"""Events that only the active scheduler logs, throughout its leadership."""
 
 
-class _Reader:
-    """Takes events one after the other."""
+class _HistoryBuilder:
+    """Builds the histories event by event."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, JobStory] = {}
         self.domains: dict[str, str] = {}
-        self.leads: list[Lead] = []
+        self.leaderships: list[Leadership] = []
         self._handlers: dict[str, abc.Callable[[lines.Event], None]] = {
             "daemon-started": self._daemon_started,
             "scheduler-started": self._scheduler_started,
@@ -198,11 +210,11 @@
             "job-ended": self._job_ended,
         }
 
-    def take(self, event: lines.Event) -> None:
-        """Takes the next event."""
-        by_the_leader = self.leads and event.vm == self.leads[-1].vm
-        if event.name in _OF_THE_LEADER and by_the_leader:
-            self.leads[-1].last_at = event.at
+    def add(self, event: lines.Event) -> None:
+        """Adds the next event."""
+        from_leader = self.leaderships and event.vm == self.leaderships[-1].vm
+        if event.name in _LEADER_EVENTS and from_leader:
+            self.leaderships[-1].last_event_at = event.at
         handler = self._handlers.get(event.name)
         if handler is not None:
             handler(event)
@@ -213,7 +225,7 @@
             return None
         return self.jobs.setdefault(job_id, JobStory(job_id))
 
-    def _run(self, event: lines.Event) -> RunStory | None:
+    def _run(self, event: lines.Event) -> RunHistory | None:
         job = self._job(event)
         return job.runs.get(event.text("run")) if job else None
 
@@ -221,7 +233,7 @@
         self.domains[event.vm] = event.text("domain")
 
     def _scheduler_started(self, event: lines.Event) -> None:
-        self.leads.append(Lead(event.vm, event.at, event.at))
+        self.leaderships.append(Leadership(event.vm, event.at, event.at))
 
     def _caller_request(self, event: lines.Event) -> None:
         job = self._job(event)
@@ -231,20 +243,20 @@
         reason = "" if accepted else event.text("reason")
         job.queue = job.queue or event.text("queue")
         job.account = job.account or event.text("account")
-        began_at = event.at - event.number("took_ms") / 1000
-        job.hand_ins.append(
-            HandIn(began_at, event.at, event.vm, accepted, reason)
+        received_at = event.at - event.number("took_ms") / 1000
+        job.submissions.append(
+            Submission(received_at, event.at, event.vm, accepted, reason)
         )
 
     def _run_placed(self, event: lines.Event) -> None:
         job = self._job(event)
-        name = event.text("run")
-        if job is None or event.text("refusal") or name in job.runs:
+        run_id = event.text("run")
+        if job is None or event.text("refusal") or run_id in job.runs:
             return
         job.queue = job.queue or event.text("queue")
-        task, _, number = name.partition("#")
+        task, _, number = run_id.partition("#")
         step = ".".join(task.split(".")[1:3])
-        job.runs[name] = RunStory(
+        job.runs[run_id] = RunHistory(
             step,
             task,
             int(number) if number.isdigit() else 0,
--- a/laburnumsill/explain/tests/test_causes.py
+++ b/laburnumsill/explain/tests/test_causes.py
@@ -1,4 +1,4 @@
-"""What is read from the logs of a site, and what it says of its jobs."""
+"""Tests of the causes of a job's time, from log lines to sums."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 def site_of(*texts: str) -> stories.SiteStory:
-    """Returns the site that lines tell of; each begins with its second."""
+    """Returns the site of log lines, each of which begins with its second."""
     return stories.story_of(
         lines.events_of(
             f"time=2026-01-01T00:00:{float(at):06.3f}Z level=INFO {rest}"
@@ -22,13 +22,13 @@
 
 def parts_of(site: stories.SiteStory, job_id: str) -> dict[str, float]:
     """Returns the seconds of a job by cause."""
-    found: dict[str, float] = {}
+    parts: dict[str, float] = {}
     for span in causes.spans_of(site.jobs[job_id], site):
-        found[span.cause] = found.get(span.cause, 0) + span.seconds
-    return {cause: round(seconds, 3) for cause, seconds in found.items()}
+        parts[span.cause] = parts.get(span.cause, 0) + span.seconds
+    return {cause: round(seconds, 3) for cause, seconds in parts.items()}
 
 
-LED = "0.0 event=scheduler-started fence=1 vm=core1"
+SCHEDULER_STARTED = "0.0 event=scheduler-started fence=1 vm=core1"
 REFUSED = (
     "1.5 event=caller-request job=j queue=q account=a method=POST status=503"
     " reason=no-quorum took_ms=500 vm=front1"
@@ -58,9 +58,9 @@
     return f"{at} event=run-ended job=j run={run} kind={kind} vm=core1"
 
 
-def test_hand_ins_that_were_refused_count_from_the_first():
+def test_refused_submissions_count_from_the_first():
     site = site_of(
-        LED,
+        SCHEDULER_STARTED,
         REFUSED,
         ACCEPTED,
         placed(2.6, "j.0.0.0#1", "w1"),
@@ -74,14 +74,14 @@
         Cause.RUNNING: 6.3,
     }
     job = site.jobs["j"]
-    assert [one.reason for one in job.hand_ins] == ["no-quorum", ""]
+    assert [call.reason for call in job.submissions] == ["no-quorum", ""]
     spans = causes.spans_of(job, site)
     assert causes.late_by_s(job, spans) == pytest.approx(8 - 1.5 * 6.3 - 0.5)
 
 
-def test_a_gang_begins_with_its_last_member():
+def test_a_gang_starts_with_its_last_task():
     site = site_of(
-        LED,
+        SCHEDULER_STARTED,
         ACCEPTED,
         placed(2.6, "j.0.0.0#1", "w1"),
         placed(2.6, "j.0.0.1#1", "w2"),
@@ -94,9 +94,9 @@
     assert parts[Cause.RUNNING] == 5.4
 
 
-def test_waiting_is_told_apart_from_stops_and_from_a_lost_lead():
+def test_waiting_is_split_into_capacity_and_lack_of_a_leader():
     site = site_of(
-        LED,
+        SCHEDULER_STARTED,
         placed(1.0, "k.0.0.0#1", "w1").replace("job=j", "job=k"),
         ACCEPTED,
         "3.0 event=unit-waits job=j occurrence=0 step=0 obstacle=no",
@@ -113,9 +113,9 @@
     assert Cause.STOPS not in parts
 
 
-def test_stops_for_a_job_are_told_apart_from_waiting_for_room():
+def test_waiting_is_split_into_capacity_and_preemption():
     site = site_of(
-        LED,
+        SCHEDULER_STARTED,
         placed(1.0, "k.0.0.0#1", "w1").replace("job=j", "job=k"),
         ACCEPTED,
         "3.1 event=run-stop job=k run=k.0.0.0#1 reason=room for_job=j vm=core1",
@@ -137,14 +137,16 @@
         ("member-ended", "", Cause.LOST),
     ],
 )
-def test_runs_that_were_not_done_count_by_how_they_ended(kind, stop, cause):
-    told = f'5.0 event=run-stop job=j run=j.0.0.0#1 reason="{stop}" vm=core1'
+def test_incomplete_runs_count_by_the_kind_of_their_end(kind, stop, cause):
+    stop_line = (
+        f'5.0 event=run-stop job=j run=j.0.0.0#1 reason="{stop}" vm=core1'
+    )
     site = site_of(
-        LED,
+        SCHEDULER_STARTED,
         ACCEPTED,
         placed(2.6, "j.0.0.0#1", "w1"),
         started(2.6, "j.0.0.0#1"),
-        *([told] if stop else []),
+        *([stop_line] if stop else []),
         ended(5.6, "j.0.0.0#1", kind),
         placed(5.6, "j.0.0.0#2", "w1"),
         started(5.6, "j.0.0.0#2"),
@@ -153,10 +155,10 @@
     assert parts_of(site, "j")[cause] == 3.0
 
 
-def test_sums_count_each_job_in_all_of_its_groups():
+def test_each_job_counts_in_all_of_its_groups():
     site = site_of(
         "0.0 event=daemon-started domain=north vm=front1",
-        LED,
+        SCHEDULER_STARTED,
         REFUSED,
         ACCEPTED,
         placed(2.6, "j.0.0.0#1", "w1"),
@@ -164,20 +166,20 @@
         ended(9.0, "j.0.0.0#1", "done"),
         ENDED,
     )
-    found = sums.sums_of(site)
-    assert set(found) == {
+    totals = sums.sums_of(site)
+    assert set(totals) == {
         "all",
         "queue q",
         "account a",
         "domain north",
         "from second 0",
     }
-    assert all(one["jobs"] == 1 for one in found.values())
-    assert found["all"][Cause.HAND_IN] == pytest.approx(1.6)
+    assert all(group["jobs"] == 1 for group in totals.values())
+    assert totals["all"][Cause.HAND_IN] == pytest.approx(1.6)
 
 
-def test_lines_of_others_and_broken_ones_are_passed_over():
-    broken = [
+def test_foreign_and_malformed_lines_are_skipped():
+    malformed = [
         "",
         "time=",
         "time=yesterday event=run-placed",
@@ -185,8 +187,8 @@
         "Traceback (most recent call last):",
         "   1.2 core1 time=2026-01-01T00:00:01.000Z vm=a level=INFO",
     ]
-    assert lines.events_of(broken) == []
-    one = lines.event_of(
+    assert lines.events_of(malformed) == []
+    one = lines.parse_event(
         '3.5 core1 time=2026-01-01T00:00:01.000Z event=x a="b \\"c\\"\\nd" vm=v'
     )
     assert one is not None
@@ -194,9 +196,9 @@
     assert one.number("a") == 0.0
 
 
-def test_an_end_that_was_listed_twice_stays_done():
+def test_a_run_that_ended_twice_stays_done():
     site = site_of(
-        LED,
+        SCHEDULER_STARTED,
         ACCEPTED,
         placed(2.6, "j.0.0.0#1", "w1"),
         ended(4.0, "j.0.0.0#1", "done"),
