--- a/laburnumsill/wire/__init__.py
+++ b/laburnumsill/wire/__init__.py
@@ -1,6 +1,6 @@
 """The peer protocol: thrift messages and connections between VMs.
 
-`network.PeerNetwork` is the public part. Below it, `frames` turns messages
-into bytes and back, `outbox` decides what goes into the next frame,
-`connection` runs one connection and `handlers` runs what a peer asks for.
+`network.PeerNetwork` is the public class. Below it, `frames` encodes and
+decodes messages, `outbox` queues messages and fills frames, `connection` runs
+one connection and `handlers` runs the handlers of a peer's messages.
 """
--- a/laburnumsill/wire/addresses.py
+++ b/laburnumsill/wire/addresses.py
@@ -9,7 +9,7 @@
     """Returns the host and the port of an address.
 
     Raises:
-        errors.InvalidConfigurationError: It is not of the form
+        errors.InvalidConfigurationError: The address is not of the form
             ``host:port``.
 
     Examples:
--- a/laburnumsill/wire/calls.py
+++ b/laburnumsill/wire/calls.py
@@ -1,4 +1,4 @@
-"""Calls that wait for their replies on one connection."""
+"""Calls on one connection that wait for their replies."""
 
 import dataclasses
 import itertools
@@ -14,12 +14,12 @@
 
 @dataclasses.dataclass(slots=True)
 class PendingCall:
-    """One call without a reply yet.
+    """A call that waits for its reply.
 
     Attributes:
-        item: Its place in the outbox.
-        done: Set when there is a reply or the connection is lost.
-        reply: The reply, or None.
+        item: The queued message of the call.
+        done: Set once the reply has come or the connection is lost.
+        reply: The reply, None without one.
     """
 
     item: outbox.Item
@@ -28,7 +28,7 @@
 
 
 class PendingCalls:
-    """The calls of one connection; ids are never used twice on it."""
+    """The pending calls of one connection, each with an id unique on it."""
 
     def __init__(self) -> None:
         self._ids = itertools.count(1)
@@ -39,18 +39,18 @@
         return next(self._ids)
 
     def add(self, item: outbox.Item) -> PendingCall:
-        """Waits for the reply to the call in `item`."""
+        """Registers the call in `item` to receive its reply."""
         pending = PendingCall(item)
         self._pending[item.value.call_id] = pending
         return pending
 
-    def forget(self, pending: PendingCall) -> None:
-        """Drops the reply if it still comes; withdraws an unsent call."""
+    def discard(self, pending: PendingCall) -> None:
+        """Withdraws the call if it is unsent; a later reply is dropped."""
         self._pending.pop(pending.item.value.call_id, None)
         pending.item.withdrawn = True
 
-    def settle(self, reply: ttypes.Reply) -> bool:
-        """Hands a reply to its call; returns whether one waited for it."""
+    def resolve(self, reply: ttypes.Reply) -> bool:
+        """Passes a reply to its call; returns whether the call was pending."""
         pending = self._pending.pop(reply.call_id, None)
         if pending is None:
             return False
@@ -59,7 +59,7 @@
         return True
 
     def fail_all(self) -> None:
-        """Wakes all calls without a reply, since none can come any more."""
+        """Ends all pending calls without a reply."""
         for pending in self._pending.values():
             pending.item.withdrawn = True
             pending.done.set()
@@ -67,16 +67,16 @@
 
 
 def result(vm: str, pending: PendingCall) -> typing.Any:
-    """Returns what the peer's handler returned, or raises what it raised.
+    """Returns the result of the peer's handler, or raises its error.
 
     Raises:
-        errors.PeerUnreachableError: No byte of the call can have been sent.
-        errors.OutcomeUnknownError: It may have been sent and no whole reply
-            came.
-        errors.LaburnumsillError: The peer's handler raised it.
+        errors.PeerUnreachableError: The call was certainly not sent.
+        errors.OutcomeUnknownError: The call may have been sent, and no
+            complete reply was received.
+        errors.LaburnumsillError: The peer's handler raised this error.
     """
     reply = pending.reply
-    if reply is None and not pending.item.taken:
+    if reply is None and not pending.item.maybe_sent:
         raise errors.PeerUnreachableError(f"{vm}: not sent", vm=vm)
     if reply is None:
         raise errors.OutcomeUnknownError(f"{vm}: no reply came", vm=vm)
@@ -93,8 +93,10 @@
 
 def _error(vm: str, record: object) -> errors.LaburnumsillError:
     if not isinstance(record, errors.ErrorRecord):
-        return errors.OutcomeUnknownError(f"{vm}: a failure without record")
+        return errors.OutcomeUnknownError(
+            f"{vm}: an error reply without an error record"
+        )
     try:
         return errors.LaburnumsillError.from_record(record)
-    except TypeError:  # a type that cannot be made from a record
+    except TypeError:  # the constructor of its class takes other arguments
         return errors.LaburnumsillError(f"{record.slug}: {record.detail}")
--- a/laburnumsill/wire/connection.py
+++ b/laburnumsill/wire/connection.py
@@ -1,4 +1,4 @@
-"""One connection between two VMs, after both have said who they are."""
+"""One connection between two VMs, after the exchange of hellos."""
 
 import dataclasses
 import typing
@@ -17,33 +17,36 @@
 from laburnumsill.wire import outbox
 from laburnumsill.wire.generated.peer import ttypes
 
-QUIET_S = 0.2
-"""A frame from the peer is answered by an empty one after so long a quiet.
+KEEPALIVE_REPLY_S = 0.2
+"""A frame from the peer is answered by an empty frame if nothing was sent for
+this long.
 
-The answer comes while the acknowledgement is still due, which saves a packet,
+The empty frame carries the pending TCP acknowledgement, which saves a packet,
 and all peers answer at the same moment, which saves wake-ups.
 """
 
-DIALER_QUIET_S = 0.3
-"""The dialing end sends an empty frame at the first tick after so long a
-quiet: every 0.4 s where nothing else is sent."""
+DIALER_KEEPALIVE_S = 0.3
+"""Keep-alive interval of the dialing end. It is checked at each tick of 0.2 s,
+so an idle connection sends a keep-alive every 0.4 s."""
 
-LONG_QUIET_S = 0.5
-"""The other end sends an empty frame by itself only after so long."""
+ACCEPTOR_KEEPALIVE_S = 0.5
+"""Keep-alive interval of the accepting end, which normally answers the
+keep-alives of the dialing end instead."""
 
 REACHABLE_S = 1.0
-"""A peer that was heard from within this time counts as reachable."""
+"""A peer counts as reachable for this long after the last contact."""
 
-SILENCE_LIMIT_S = 0.9
-"""A connection that was silent for so long is closed and dialed anew.
+SILENCE_TIMEOUT_S = 0.9
+"""A connection on which nothing was received for this long is closed and
+dialed again.
 
-It may have gone silent for good while new ones work, so this comes before the
-calls of the users' callers give up. A connection without faults brings
-something every 0.4 s, which a delay by another 0.4 s does not make silent.
+A connection may go silent for good while new ones work, so this timeout is
+shorter than those of the users' callers. A healthy connection carries a frame
+every 0.4 s, which may be delayed by another 0.4 s without a timeout.
 """
 
 MAX_RUNNING_CALLS = 4096
-"""Most calls of one peer that run at a time."""
+"""Limit of the calls of one peer that run at a time."""
 
 
 @dataclasses.dataclass(slots=True)
@@ -70,57 +73,59 @@
         vm: str,
         stream: trio.abc.Stream,
         reader: frames.FrameReader,
-        answers: handlers.Handlers,
+        peer_handlers: handlers.Handlers,
         clock: clocks.Clock,
-        workers: trio.Nursery,
+        call_nursery: trio.Nursery,
         dialed: bool,
     ) -> None:
-        """Makes a connection.
+        """Creates a connection.
 
         Args:
             vm: The VM at the other end.
             stream: The stream, after the exchange of hellos.
-            reader: The reader that took the hello.
-            answers: Runs what the peer asks for.
+            reader: The reader that received the hello.
+            peer_handlers: The handlers of the peer's messages.
             clock: The clock of this process.
-            workers: Runs calls of the peer, also after this connection is
-                lost, since the peer may ask again over another one.
-            dialed: Whether this end dialed.
+            call_nursery: Runs the peer's calls, also after this connection is
+                lost, since the peer may repeat a call on another one.
+            dialed: Whether this end dialed the connection.
         """
         self.vm = vm
         self._traffic = Traffic()
         self._stream = stream
         self._reader = reader
-        self._handlers = answers
+        self._handlers = peer_handlers
         self._clock = clock
-        self._workers = workers
-        self._longest_quiet_s = DIALER_QUIET_S if dialed else LONG_QUIET_S
+        self._call_nursery = call_nursery
+        self._keepalive_s = (
+            DIALER_KEEPALIVE_S if dialed else ACCEPTOR_KEEPALIVE_S
+        )
         self._outbox = outbox.Outbox()
         self._pending = calls.PendingCalls()
         self._running_calls = 0
         self._wakeup = trio.Event()
-        self._last_sent = clock.monotonic()
-        self._last_called = clock.monotonic()
+        self._last_sent_at = clock.monotonic()
+        self._last_call_at = clock.monotonic()
         self._closed = False
         self._scope = trio.CancelScope()
         self._reason: failures.WireError | None = None
 
     @property
     def reachable(self) -> bool:
-        """Whether the peer was heard from lately."""
-        return not self._closed and self._silence() < REACHABLE_S
+        """Whether the last contact was within `REACHABLE_S`."""
+        return not self._closed and self._silence_s() < REACHABLE_S
 
     @property
     def idle_s(self) -> float:
-        """Seconds since this end last called the other one."""
-        return self._clock.monotonic() - self._last_called
+        """Seconds since the last call from this end."""
+        return self._clock.monotonic() - self._last_call_at
 
     @property
     def traffic(self) -> Traffic:
-        """What went over it so far."""
+        """The counters of this connection."""
         return dataclasses.replace(
             self._traffic,
-            received_bytes=self._reader.received,
+            received_bytes=self._reader.byte_count,
             dropped=self._outbox.dropped,
         )
 
@@ -129,41 +134,41 @@
         try:
             with self._scope:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self._until_lost, self._write)
-                    await self._until_lost(self._read)
+                    nursery.start_soon(self._close_on_error, self._write)
+                    await self._close_on_error(self._read)
         finally:
-            self._close()
+            self._shut_down()
         return self._reason or failures.ConnectionLostError("shut down")
 
-    def lose(self, reason: failures.WireError) -> None:
+    def close(self, reason: failures.WireError) -> None:
         """Closes the connection; `run` then returns `reason`."""
         self._reason = self._reason or reason
-        self._close()
+        self._shut_down()
 
-    def tick(self, late: bool) -> None:
-        """Sends a keep-alive or gives the peer up, where one is due.
+    def tick(self, stalled: bool) -> None:
+        """Sends a keep-alive if one is due, or closes a silent connection.
 
         Args:
-            late: Whether this process was held up, so that what the peer
-                sent may not have been read yet.
+            stalled: Whether this process was stalled, so that bytes of the
+                peer may wait to be read.
         """
-        silence = self._silence()
-        if silence > SILENCE_LIMIT_S and not late:
-            self.lose(
+        silence = self._silence_s()
+        if silence > SILENCE_TIMEOUT_S and not stalled:
+            self.close(
                 failures.ConnectionLostError(f"silent for {silence:.2f} s")
             )
-        elif self._quiet() > self._longest_quiet_s:
+        elif self._send_idle_s() > self._keepalive_s:
             self._wakeup.set()
 
     async def call(self, request: object, deadline: float) -> typing.Any:
-        """Sends a call and returns the peer's answer, see `Peers.call`."""
+        """Sends a call and returns the peer's result, see `Peers.call`."""
         call = ttypes.Call(
             self._pending.next_id(),
             codec.encode(request),
             self._clock.wall_deadline(deadline),
         )
         self._check_open()
-        self._last_called = self._clock.monotonic()
+        self._last_call_at = self._clock.monotonic()
         pending = self._pending.add(self._outbox.add_call(call))
         self._wakeup.set()
         try:
@@ -171,7 +176,7 @@
             with trio.move_on_after(max(0.0, remaining)):
                 await pending.done.wait()
         finally:
-            self._pending.forget(pending)
+            self._pending.discard(pending)
         return calls.result(self.vm, pending)
 
     def notify(self, notice: object) -> None:
@@ -186,38 +191,38 @@
         finally:
             self._wakeup.set()
 
-    async def _until_lost(
+    async def _close_on_error(
         self, work: abc.Callable[[], abc.Awaitable[None]]
     ) -> None:
-        """Runs `work`; its failure is the end of the connection."""
+        """Runs `work` and closes the connection if it fails."""
         try:
             await work()
         except failures.WireError as error:
-            self.lose(error)
+            self.close(error)
 
     async def _read(self) -> None:
         while True:
             frame = await self._reader.read()
             self._traffic.received_frames += 1
-            if self._quiet() > QUIET_S:
+            if self._send_idle_s() > KEEPALIVE_REPLY_S:
                 self._wakeup.set()
-            self._take(frame)
+            self._dispatch(frame)
 
-    def _take(self, frame: ttypes.Frame) -> None:
+    def _dispatch(self, frame: ttypes.Frame) -> None:
         if frame.raft:
-            self._handlers.take_raft(frame.raft)
+            self._handlers.handle_raft(frame.raft)
         for reply in frame.replies or ():
-            if not self._pending.settle(reply):
+            if not self._pending.resolve(reply):
                 self._traffic.late_replies += 1
         for call in frame.calls or ():
-            self._take_call(call)
+            self._start_call(call)
         for notice in frame.notices or ():
-            self._handlers.take_notice_bytes(notice)
+            self._handlers.handle_encoded_notice(notice)
 
-    def _take_call(self, call: ttypes.Call) -> None:
+    def _start_call(self, call: ttypes.Call) -> None:
         if self._running_calls < MAX_RUNNING_CALLS:
             self._running_calls += 1
-            self._workers.start_soon(self._answer, call)
+            self._call_nursery.start_soon(self._answer, call)
             return
         refusal = errors.OverloadedError(
             f"{MAX_RUNNING_CALLS} calls are running"
@@ -241,13 +246,13 @@
         self._wakeup.set()
 
     async def _write(self) -> None:
-        """Sends all that waits; a wake-up with nothing is a keep-alive."""
+        """Sends queued messages; an empty queue yields a keep-alive frame."""
         while True:
             await self._wakeup.wait()
             self._wakeup = trio.Event()
-            await self._send(self._outbox.gather())
+            await self._send(self._outbox.next_frame())
             while self._outbox:
-                await self._send(self._outbox.gather())
+                await self._send(self._outbox.next_frame())
 
     async def _send(self, frame: ttypes.Frame) -> None:
         raw = frames.encode(frame)
@@ -257,21 +262,21 @@
             raise failures.ConnectionLostError(
                 f"sending failed: {error.__cause__ or error!r}"
             ) from error
-        self._last_sent = self._clock.monotonic()
+        self._last_sent_at = self._clock.monotonic()
         self._traffic.sent_frames += 1
         self._traffic.sent_bytes += len(raw)
 
-    def _silence(self) -> float:
-        return self._clock.monotonic() - self._reader.last_heard
+    def _silence_s(self) -> float:
+        return self._clock.monotonic() - self._reader.last_contact_at
 
-    def _quiet(self) -> float:
-        return self._clock.monotonic() - self._last_sent
+    def _send_idle_s(self) -> float:
+        return self._clock.monotonic() - self._last_sent_at
 
     def _check_open(self) -> None:
         if self._closed:
             raise errors.PeerUnreachableError(f"{self.vm}: closed")
 
-    def _close(self) -> None:
+    def _shut_down(self) -> None:
         if not self._closed:
             self._closed = True
             self._pending.fail_all()
--- a/laburnumsill/wire/failures.py
+++ b/laburnumsill/wire/failures.py
@@ -4,7 +4,7 @@
 
 
 class WireError(errors.LaburnumsillError):
-    """Base of what goes wrong on a connection between two VMs."""
+    """Base class of failures of a connection between two VMs."""
 
     slug = "wire"
     status = 502
@@ -12,14 +12,14 @@
 
 
 class MalformedFrameError(WireError):
-    """Bytes from a peer that are no frame of this protocol."""
+    """Bytes from a peer are not a frame of this protocol."""
 
     slug = "malformed-frame"
     title = "Malformed frame"
 
 
 class FrameTooLargeError(WireError):
-    """A frame or a message over the limit of the protocol."""
+    """A frame or a message exceeds the limit of the protocol."""
 
     slug = "frame-too-large"
     status = 413
@@ -27,28 +27,28 @@
 
 
 class HelloRefusedError(WireError):
-    """The other end of a connection is not the VM it should be."""
+    """The other end is not the expected VM or speaks another protocol."""
 
     slug = "hello-refused"
     title = "Wrong VM or protocol at the other end"
 
 
 class ConnectionLostError(WireError):
-    """A connection ended: closed, reset, replaced or silent for too long."""
+    """A connection was closed, reset or replaced, or timed out."""
 
     slug = "connection-lost"
     title = "The connection was lost"
 
 
 class ConnectionIdleError(ConnectionLostError):
-    """This VM has left a connection that it did not use any more."""
+    """This VM closed an on-demand connection that was idle."""
 
     slug = "connection-idle"
     title = "The connection was not in use"
 
 
 class PeerListenError(WireError):
-    """The peer address cannot be listened on."""
+    """Listening on the peer address failed."""
 
     slug = "peer-listen"
     status = 500
--- a/laburnumsill/wire/frames.py
+++ b/laburnumsill/wire/frames.py
@@ -1,7 +1,7 @@
 """Frames: a 4-byte big-endian length and one thrift `Frame`.
 
-The body is in thrift's compact protocol, coded by the library's C extension.
-Lengths are checked before anything is allocated for them.
+The body is in thrift's compact protocol, encoded and decoded by the library's
+C extension. Lengths are checked before memory is allocated for them.
 """
 
 import struct
@@ -18,10 +18,10 @@
 """Largest body of a frame."""
 
 MAX_LIST_LENGTH = 65_536
-"""Most elements of one list in a frame."""
+"""Limit of the elements of one list in a frame."""
 
 RECEIVE_BYTES = 65_536
-"""Most bytes taken from the socket at a time."""
+"""Limit of the bytes read from the socket at a time."""
 
 _HEADER = struct.Struct("!I")
 _factory = TCompactProtocol.TCompactProtocolAcceleratedFactory(
@@ -32,10 +32,10 @@
 
 
 def encode(frame: ttypes.Frame) -> bytes:
-    r"""Returns the bytes of a frame, its length first.
+    r"""Returns a frame as bytes, prefixed by its length.
 
     Raises:
-        failures.FrameTooLargeError: The body is over `MAX_FRAME_BYTES`.
+        failures.FrameTooLargeError: The body exceeds `MAX_FRAME_BYTES`.
 
     Examples:
         >>> encode(ttypes.Frame())
@@ -49,10 +49,10 @@
 
 
 def decode(body: bytes) -> ttypes.Frame:
-    """Returns the frame in `body`, which comes without its length.
+    """Returns the frame in `body`, which has no length prefix.
 
     Raises:
-        failures.MalformedFrameError: `body` is not exactly one whole frame.
+        failures.MalformedFrameError: `body` is not exactly one complete frame.
     """
     buffer = TTransport.TMemoryBuffer(body)
     frame = ttypes.Frame()
@@ -74,8 +74,8 @@
     """Reads frames from a stream.
 
     Attributes:
-        last_heard: Monotonic point at which bytes last came.
-        received: Bytes received so far.
+        last_contact_at: Monotonic time at which bytes were last received.
+        byte_count: Number of bytes received.
     """
 
     def __init__(
@@ -84,19 +84,19 @@
         self._stream = stream
         self._clock = clock
         self._buffer = bytearray()
-        self.last_heard = clock.monotonic()
-        self.received = 0
+        self.last_contact_at = clock.monotonic()
+        self.byte_count = 0
 
     async def read(self, limit: int = MAX_FRAME_BYTES) -> ttypes.Frame:
         """Returns the next frame.
 
         Args:
-            limit: Largest length that is accepted.
+            limit: Maximum length of the body, in bytes.
 
         Raises:
             failures.ConnectionLostError: The stream ended or broke.
-            failures.FrameTooLargeError: The length is over `limit`.
-            failures.MalformedFrameError: The body is no frame.
+            failures.FrameTooLargeError: The length exceeds `limit`.
+            failures.MalformedFrameError: The body is not a frame.
         """
         await self._fill(_HEADER.size)
         (length,) = _HEADER.unpack_from(self._buffer)
@@ -107,9 +107,9 @@
         del self._buffer[:end]
         return decode(body)
 
-    async def _fill(self, wanted: int) -> None:
-        """Receives until the buffer holds `wanted` bytes."""
-        while len(self._buffer) < wanted:
+    async def _fill(self, size: int) -> None:
+        """Receives until the buffer contains at least `size` bytes."""
+        while len(self._buffer) < size:
             try:
                 chunk = await self._stream.receive_some(RECEIVE_BYTES)
             except (trio.BrokenResourceError, trio.ClosedResourceError) as e:
@@ -117,10 +117,10 @@
                     f"receiving failed: {e.__cause__ or e!r}"
                 ) from e
             if not chunk:
-                raise failures.ConnectionLostError("the peer closed it")
+                raise failures.ConnectionLostError("closed by the peer")
             self._buffer += chunk
-            self.received += len(chunk)
-            self.last_heard = self._clock.monotonic()
+            self.byte_count += len(chunk)
+            self.last_contact_at = self._clock.monotonic()
 
 
 def _check_length(length: int, limit: int) -> None:
@@ -131,7 +131,7 @@
 
 
 def _check_fields(frame: ttypes.Frame) -> None:
-    """Refuses messages that lack a field which every sender sets."""
+    """Checks that all messages have the fields that every sender sets."""
     for call in frame.calls or ():
         _check_set(call.call_id, call.payload, call.deadline)
     for reply in frame.replies or ():
--- a/laburnumsill/wire/hello.py
+++ b/laburnumsill/wire/hello.py
@@ -1,7 +1,8 @@
 """The exchange of hellos that starts each connection.
 
-Of two VMs the one with the lower id dials and speaks first. Until the other
-end has said who it is, only a short frame is taken from it.
+The dialing VM, which outside open networks is the one with the lower id, sends
+its hello first. The size of the first frame is limited, since the other end is
+not identified before it.
 """
 
 import contextlib
@@ -14,34 +15,34 @@
 from laburnumsill.wire.generated.peer import ttypes
 
 PROTOCOL = 1
-"""Version of the protocol; another one is refused."""
+"""Version of the protocol; peers with another version are refused."""
 
 MAX_HELLO_BYTES = 1024
-"""Largest first frame."""
+"""Limit of the size of the first frame."""
 
 HELLO_TIMEOUT_S = 1.0
-"""Time from the connection to the end of the exchange."""
+"""Timeout of the whole exchange, from the TCP connection on."""
 
 
 @contextlib.contextmanager
 def time_limit() -> abc.Iterator[None]:
-    """Limits the whole exchange to its time.
+    """Applies `HELLO_TIMEOUT_S` to the exchange in its body.
 
     Raises:
-        failures.ConnectionLostError: It took too long.
+        failures.ConnectionLostError: The exchange timed out.
     """
     try:
         with trio.fail_after(HELLO_TIMEOUT_S):
             yield
     except trio.TooSlowError as error:
-        raise failures.ConnectionLostError("no hello in time") from error
+        raise failures.ConnectionLostError("timeout of the hello") from error
 
 
 async def send(stream: trio.abc.SendStream, vm: str) -> None:
-    """Says that this end is `vm`.
+    """Sends the hello of this end, which is `vm`.
 
     Raises:
-        failures.ConnectionLostError: It could not be sent.
+        failures.ConnectionLostError: Sending failed.
     """
     frame = ttypes.Frame(hello=ttypes.Hello(vm, PROTOCOL))
     try:
@@ -56,12 +57,12 @@
     """Returns the id of the VM at the other end.
 
     Raises:
-        failures.WireError: It sent no hello of this protocol.
+        failures.WireError: The other end sent no hello of this protocol.
     """
     frame = await reader.read(MAX_HELLO_BYTES)
     hello = frame.hello
     if hello is None:
-        raise failures.HelloRefusedError("the first frame is no hello")
+        raise failures.HelloRefusedError("the first frame is not a hello")
     if hello.protocol != PROTOCOL:
         raise failures.HelloRefusedError(
             f"{hello.vm_id!r} speaks protocol {hello.protocol}, not {PROTOCOL}"
--- a/laburnumsill/wire/outbox.py
+++ b/laburnumsill/wire/outbox.py
@@ -1,8 +1,8 @@
-"""What waits to be sent to one peer, and what goes into the next frame.
+"""Send queues of one connection, and the filling of frames from them.
 
-Everything that was queued while the last write ran goes out in one frame,
-up to a size that keeps a frame short. Raft messages and the rest have a
-queue each, so that bulk in one never holds up the other for long.
+Messages queued during a write are sent together in the next frame, up to
+`FRAME_TARGET_BYTES`. Raft messages and all other messages have separate
+queues, so that bulk in one queue does not delay the other for long.
 """
 
 import collections
@@ -16,22 +16,22 @@
 from laburnumsill.wire.generated.peer import ttypes
 
 FRAME_TARGET_BYTES = 256 * 1024
-"""A frame is not filled beyond this size, unless one message is larger."""
+"""Maximum size of a frame, unless a single message is larger."""
 
-FRAME_MAX_ITEMS = 4096
-"""Most messages that are put into one frame."""
+MAX_FRAME_ITEMS = 4096
+"""Limit of the messages that one queue puts into a frame."""
 
 MAX_ITEM_BYTES = frames.MAX_FRAME_BYTES - 1024 * 1024
-"""Largest message; the rest of the frame is left for its other fields."""
+"""Maximum size of a message; 1 MiB of the frame is left for other fields."""
 
-RAFT_QUEUE_BYTES = 4 * 1024 * 1024
+MAX_RAFT_QUEUE_BYTES = 4 * 1024 * 1024
 """Beyond this size the oldest Raft messages are dropped."""
 
-QUEUE_BYTES = 8 * 1024 * 1024
-"""Beyond this size no further call or notice is taken.
+MAX_QUEUE_BYTES = 8 * 1024 * 1024
+"""Beyond this size calls are refused and notices are dropped.
 
-One message may always wait, however large. Both bounds together keep what
-waits for seven peers below 128 MB.
+An empty queue accepts one message of any size. Both limits together keep the
+queues of seven peers below 128 MB.
 """
 
 _ITEM_OVERHEAD_BYTES = 96
@@ -40,68 +40,68 @@
 
 @dataclasses.dataclass(slots=True)
 class Item:
-    """One message that waits.
+    """A queued message.
 
     Attributes:
-        field: The list of `ttypes.Frame` that it goes into.
+        field: The list field of `ttypes.Frame` that carries it.
         value: The message.
         size: An upper bound of its encoded length.
-        taken: Whether it was put into a frame, so may have been sent.
-        withdrawn: Whether it must not be sent any more.
+        maybe_sent: Whether it was put into a frame, so may have been sent.
+        withdrawn: Whether it must not be sent.
     """
 
     field: str
     value: typing.Any
     size: int
-    taken: bool = False
+    maybe_sent: bool = False
     withdrawn: bool = False
 
 
 class Outbox:
-    """The queues of one connection.
+    """The send queues of one connection.
 
     Attributes:
-        dropped: Messages that were dropped because a queue was full.
+        dropped: Number of messages dropped because a queue was full.
     """
 
     def __init__(self) -> None:
         self._raft: collections.deque[Item] = collections.deque()
-        self._rest: collections.deque[Item] = collections.deque()
+        self._other: collections.deque[Item] = collections.deque()
         self._raft_bytes = 0
-        self._rest_bytes = 0
+        self._other_bytes = 0
         self._raft_first = True
         self.dropped = 0
 
     def __bool__(self) -> bool:
-        return bool(self._raft or self._rest)
+        return bool(self._raft or self._other)
 
     def add_raft(self, messages: abc.Iterable[ttypes.RaftMessage]) -> None:
-        """Queues Raft messages; the oldest are dropped beyond the bound.
+        """Queues Raft messages and drops the oldest over the limit.
 
         Raises:
-            failures.FrameTooLargeError: A message can never be sent; those
-                before it are queued.
+            failures.FrameTooLargeError: A message is over the size limit;
+                those before it are queued.
         """
         for message in messages:
             item = Item("raft", message, _raft_size(message))
             _check_size(item)
             self._raft.append(item)
             self._raft_bytes += item.size
-        while self._raft_bytes > RAFT_QUEUE_BYTES and len(self._raft) > 1:
+        while self._raft_bytes > MAX_RAFT_QUEUE_BYTES and len(self._raft) > 1:
             self._raft_bytes -= self._raft.popleft().size
             self.dropped += 1
 
     def add_call(self, call: ttypes.Call) -> Item:
-        """Queues a call and returns its place, for withdrawing it.
+        """Queues a call and returns its item, by which it can be withdrawn.
 
         Raises:
-            errors.OverloadedError: The queue is full; it is not sent.
-            failures.FrameTooLargeError: It can never be sent.
+            errors.OverloadedError: The queue is full; the call is not sent.
+            failures.FrameTooLargeError: The call is over the size limit.
         """
         item = Item("calls", call, len(call.payload) + _ITEM_OVERHEAD_BYTES)
-        if not self._has_room(item):
+        if not self._fits(item):
             raise errors.OverloadedError(
-                f"{self._rest_bytes} bytes wait for the peer"
+                f"{self._other_bytes} bytes are queued for the peer"
             )
         self._add(item)
         return item
@@ -110,28 +110,28 @@
         """Queues a reply, which is never dropped.
 
         Raises:
-            failures.FrameTooLargeError: It can never be sent.
+            failures.FrameTooLargeError: The reply is over the size limit.
         """
         size = len(reply.payload) + _ITEM_OVERHEAD_BYTES
         self._add(Item("replies", reply, size))
 
     def add_notice(self, notice: bytes) -> None:
-        """Queues a notice; it is dropped when the queue is full.
+        """Queues a notice, or drops it if the queue is full.
 
         Raises:
-            failures.FrameTooLargeError: It can never be sent.
+            failures.FrameTooLargeError: The notice is over the size limit.
         """
         item = Item("notices", notice, len(notice) + _ITEM_OVERHEAD_BYTES)
-        if not self._has_room(item):
+        if not self._fits(item):
             self.dropped += 1
             return
         self._add(item)
 
-    def gather(self) -> ttypes.Frame:
-        """Takes out what goes into the next frame, maybe nothing.
+    def next_frame(self) -> ttypes.Frame:
+        """Removes messages from the queues and returns them as a frame.
 
-        The two queues take turns in being first, and the first may always
-        send one message however large, so neither starves.
+        The frame may be empty. The two queues alternate in being first, and
+        the first may send one message of any size, so neither starves.
         """
         frame = ttypes.Frame()
         size = 0
@@ -145,33 +145,33 @@
     def _move(
         self, raft: bool, frame: ttypes.Frame, size: int, limit: int
     ) -> int:
-        """Fills `frame` from one queue and returns its new size."""
-        queue = self._raft if raft else self._rest
-        for _ in range(FRAME_MAX_ITEMS):
+        """Moves messages from one queue to `frame` and returns its new size."""
+        queue = self._raft if raft else self._other
+        for _ in range(MAX_FRAME_ITEMS):
             if not queue or (size and size + queue[0].size > limit):
                 break
             item = queue.popleft()
             if raft:
                 self._raft_bytes -= item.size
             else:
-                self._rest_bytes -= item.size
+                self._other_bytes -= item.size
             if not item.withdrawn:
-                _put(frame, item)
+                _add_to_frame(frame, item)
                 size += item.size
         return size
 
-    def _has_room(self, item: Item) -> bool:
-        wanted = self._rest_bytes + item.size
-        return not self._rest or wanted <= QUEUE_BYTES
+    def _fits(self, item: Item) -> bool:
+        queue_size = self._other_bytes + item.size
+        return not self._other or queue_size <= MAX_QUEUE_BYTES
 
     def _add(self, item: Item) -> None:
         _check_size(item)
-        self._rest.append(item)
-        self._rest_bytes += item.size
+        self._other.append(item)
+        self._other_bytes += item.size
 
 
-def _put(frame: ttypes.Frame, item: Item) -> None:
-    item.taken = True
+def _add_to_frame(frame: ttypes.Frame, item: Item) -> None:
+    item.maybe_sent = True
     values = getattr(frame, item.field)
     if values is None:
         setattr(frame, item.field, [item.value])
--- a/laburnumsill/wire/peer_link.py
+++ b/laburnumsill/wire/peer_link.py
@@ -1,4 +1,4 @@
-"""What a VM knows of its connection to one other VM."""
+"""State of the connection to one other VM."""
 
 import trio
 
@@ -7,43 +7,43 @@
 
 
 class PeerLink:
-    """The connection to one other VM, and who waits for it or its end.
+    """The connection to one other VM, with events for its begin and end.
 
     Attributes:
-        connection: The connection to it, or None.
+        connection: The current connection, or None.
         connected: Set while there is a connection.
-        detached: Set while there is none.
-        dialing: Ends the dialing, None where this VM never dials it.
+        disconnected: Set while there is no connection.
+        dial_scope: Cancels the dialing, None where this VM does not dial.
     """
 
     def __init__(self) -> None:
         self.connection: connections.Connection | None = None
         self.connected = trio.Event()
-        self.detached = trio.Event()
-        self.detached.set()
-        self.dialing: trio.CancelScope | None = None
-        self._wanted = trio.Event()
+        self.disconnected = trio.Event()
+        self.disconnected.set()
+        self.dial_scope: trio.CancelScope | None = None
+        self._requested = trio.Event()
 
     def attach(self, connection: connections.Connection) -> None:
-        """Uses a new connection; an older one is certainly dead."""
+        """Replaces the connection; the old one must be dead by then."""
         if self.connection is not None:
-            self.connection.lose(failures.ConnectionLostError("replaced"))
+            self.connection.close(failures.ConnectionLostError("replaced"))
         self.connection = connection
         self.connected.set()
-        self.detached = trio.Event()
+        self.disconnected = trio.Event()
 
     def detach(self, connection: connections.Connection) -> None:
-        """Forgets a connection that was lost, unless it was replaced."""
+        """Removes a lost connection, unless it was replaced already."""
         if self.connection is connection:
             self.connection = None
             self.connected = trio.Event()
-            self.detached.set()
+            self.disconnected.set()
 
-    def want(self) -> None:
-        """Notes that somebody waits for a connection."""
-        self._wanted.set()
+    def request_connection(self) -> None:
+        """Requests that a connection be dialed on demand."""
+        self._requested.set()
 
-    async def until_wanted(self) -> None:
-        """Returns once somebody waits, which is forgotten by that."""
-        await self._wanted.wait()
-        self._wanted = trio.Event()
+    async def wait_for_request(self) -> None:
+        """Waits until a connection is requested, and clears the request."""
+        await self._requested.wait()
+        self._requested = trio.Event()
--- a/laburnumsill/wire/sockets.py
+++ b/laburnumsill/wire/sockets.py
@@ -1,4 +1,4 @@
-"""Opens and names TCP sockets; failures become errors of this package."""
+"""Opens TCP sockets and returns their addresses."""
 
 import errno
 
@@ -8,8 +8,8 @@
 from laburnumsill.wire import failures
 
 CONNECT_TIMEOUT_S = 0.5
-"""Longest wait for a TCP connection: a packet lost in a cut is only sent
-again after 1 s, a new attempt sends one sooner."""
+"""Timeout of a TCP connect. TCP retransmits a lost SYN only after 1 s; a new
+attempt sends one sooner."""
 
 
 async def listen(address: str) -> list[trio.SocketListener]:
@@ -17,7 +17,7 @@
 
     Raises:
         failures.AddressInUseError: Another process has the address.
-        failures.PeerListenError: It cannot be listened on.
+        failures.PeerListenError: Listening failed for another reason.
     """
     host, port = addresses.split(address)
     try:
@@ -33,7 +33,7 @@
     """Connects to an address.
 
     Raises:
-        failures.ConnectionLostError: It cannot be reached in time.
+        failures.ConnectionLostError: Connecting failed or timed out.
     """
     host, port = addresses.split(address)
     try:
@@ -43,7 +43,7 @@
         raise failures.ConnectionLostError(f"{address}: {error}") from error
     except trio.TooSlowError as error:
         raise failures.ConnectionLostError(
-            f"{address}: no connection in {CONNECT_TIMEOUT_S} s"
+            f"{address}: no connection within {CONNECT_TIMEOUT_S} s"
         ) from error
 
 
@@ -54,7 +54,7 @@
 
 
 def remote_address(stream: trio.SocketStream) -> str:
-    """Returns the address at the other end, "unknown" if it has gone."""
+    """Returns the address of the other end, "unknown" if it is disconnected."""
     try:
         host, port = stream.socket.getpeername()[:2]
     except OSError:
--- a/laburnumsill/wire/tests/cluster.py
+++ b/laburnumsill/wire/tests/cluster.py
@@ -1,4 +1,4 @@
-"""Networks of a few VMs in one process, for tests."""
+"""Runs networks of a few VMs in peer process, for tests."""
 
 import contextlib
 import dataclasses
@@ -17,7 +17,7 @@
 @codec.register("wire-tests.echo")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Echo:
-    """Asks for itself, after a pause."""
+    """A request that is answered by itself after a delay."""
 
     number: int
     pause_s: float = 0.0
@@ -27,22 +27,22 @@
 CLOCK = clock.SystemClock()
 
 
-def soon(seconds: float = 5.0) -> float:
-    """Returns a deadline."""
+def deadline_after(seconds: float = 5.0) -> float:
+    """Returns the deadline `seconds` from now."""
     return CLOCK.monotonic() + seconds
 
 
 async def echo(request: Echo) -> Echo:
-    """Answers an echo."""
+    """Answers an echo request."""
     await trio.sleep(request.pause_s)
     return request
 
 
 async def until(condition: abc.Callable[[], bool], limit_s: float) -> float:
-    """Waits for a condition and returns how long it took."""
+    """Waits for a condition and returns the time it took, in seconds."""
     started = CLOCK.monotonic()
     with trio.fail_after(limit_s):
-        while not condition():  # noqa: ASYNC110 (any condition may be asked)
+        while not condition():  # noqa: ASYNC110 (a condition has no event)
             await trio.sleep(0.005)
     return CLOCK.monotonic() - started
 
@@ -55,26 +55,28 @@
 def make(
     vm_id: str, addresses: dict[str, str], listen: str = "127.0.0.1:0"
 ) -> network.PeerNetwork:
-    """Returns a network that answers echoes and is not started."""
-    made = network.PeerNetwork(
+    """Returns a network that answers echo requests; it is not started."""
+    peer_network = network.PeerNetwork(
         vm(vm_id, listen), addresses, CLOCK, metrics.Metrics()
     )
-    made.on_call(Echo, echo)
-    return made
+    peer_network.on_call(Echo, echo)
+    return peer_network
 
 
 @contextlib.asynccontextmanager
 async def running(*vm_ids: str) -> abc.AsyncIterator[list[network.PeerNetwork]]:
-    """Runs connected networks, one for each VM id in rising order."""
+    """Runs connected networks, peer for each VM id in ascending order."""
     addresses = dict.fromkeys(vm_ids, "127.0.0.1:1")
-    made = [make(vm_id, addresses) for vm_id in vm_ids]
+    networks = [make(vm_id, addresses) for vm_id in vm_ids]
     async with trio.open_nursery() as nursery:
-        for vm_id, one in reversed(list(zip(vm_ids, made, strict=True))):
-            await nursery.start(one.run)
-            addresses[vm_id] = one.listening_address
-        for one in made:
-            await until(lambda one=one: len(one.reachable()) == len(made), 5)
-        yield made
+        for vm_id, peer in reversed(list(zip(vm_ids, networks, strict=True))):
+            await nursery.start(peer.run)
+            addresses[vm_id] = peer.listening_address
+        for peer in networks:
+            await until(
+                lambda peer=peer: len(peer.reachable()) == len(networks), 5
+            )
+        yield networks
         nursery.cancel_scope.cancel()
 
 
--- a/laburnumsill/wire/tests/test_frames.py
+++ b/laburnumsill/wire/tests/test_frames.py
@@ -33,14 +33,14 @@
 )
 
 
-def check_refused_or_read(raw):
+def decode_or_refuse(raw):
     try:
         frames.decode(bytes(raw))
     except failures.MalformedFrameError:
         return
 
 
-def test_frames_are_coded_by_the_extension():
+def test_the_c_extension_encodes_and_decodes_frames():
     protocol = frames._factory.getProtocol(None)
     assert protocol._fast_encode is fastbinary.encode_compact
     assert protocol._fast_decode is fastbinary.decode_compact
@@ -48,29 +48,29 @@
 
 
 @hypothesis.given(strategies.binary(max_size=200))
-def test_garbage_is_a_typed_error_or_a_frame(raw):
-    check_refused_or_read(raw)
+def test_random_bytes_are_a_frame_or_a_malformed_frame_error(raw):
+    decode_or_refuse(raw)
 
 
 @hypothesis.given(strategies.data())
-def test_damaged_frames_are_typed_errors_or_frames(data):
+def test_damaged_frames_are_frames_or_malformed_frame_errors(data):
     raw = bytearray(frames.encode(SAMPLE)[4:])
-    place = data.draw(strategies.integers(0, len(raw) - 1))
-    raw[place] = data.draw(strategies.integers(0, 255))
-    cut = data.draw(strategies.integers(0, len(raw)))
-    check_refused_or_read(raw)
-    check_refused_or_read(raw[:cut])
+    position = data.draw(strategies.integers(0, len(raw) - 1))
+    raw[position] = data.draw(strategies.integers(0, 255))
+    length = data.draw(strategies.integers(0, len(raw)))
+    decode_or_refuse(raw)
+    decode_or_refuse(raw[:length])
 
 
 @pytest.mark.parametrize(
     "raw",
     [
         b"\x29\xfc\xff\xff\xff\x7f",  # 2**34 Raft messages
-        b"\x59\xf8\xff\xff\xff\x7f",  # as many notices
+        b"\x59\xf8\xff\xff\xff\x7f",  # 2**34 notices
         b"\x59\x18\xff\xff\xff\x7f",  # one notice of 2**34 bytes
     ],
 )
-async def test_damaged_lengths_allocate_little(raw):
+async def test_damaged_lengths_allocate_little_memory(raw):
     sender, receiver = trio.testing.memory_stream_one_way_pair()
     reader = frames.FrameReader(receiver, clock.SystemClock())
     tracemalloc.start()
@@ -83,19 +83,19 @@
     tracemalloc.stop()
 
 
-async def test_frames_are_read_whole_however_they_arrive():
+async def test_frames_that_arrive_byte_by_byte_are_read_whole():
     sender, receiver = trio.testing.memory_stream_one_way_pair()
     reader = frames.FrameReader(receiver, clock.SystemClock())
     raw = frames.encode(SAMPLE) * 2
     async with trio.open_nursery() as nursery:
 
         async def send():
-            for place in range(len(raw)):
-                await sender.send_all(raw[place : place + 1])
+            for position in range(len(raw)):
+                await sender.send_all(raw[position : position + 1])
             await sender.aclose()
 
         nursery.start_soon(send)
         assert [await reader.read() for _ in range(2)] == [SAMPLE, SAMPLE]
         with pytest.raises(failures.ConnectionLostError):
             await reader.read()
-    assert reader.received == len(raw)
+    assert reader.byte_count == len(raw)
--- a/laburnumsill/wire/tests/test_network.py
+++ b/laburnumsill/wire/tests/test_network.py
@@ -14,20 +14,22 @@
 from laburnumsill.wire.tests import cluster
 
 REPLACED_WITHIN_S = 1.2
-"""Well below the 3 s after which a VM counts as in touch again."""
+"""Well below the 3 s after which a VM counts as connected again."""
 
 REACHED_AGAIN_WITHIN_S = 0.6
-"""From the end of a cut: a pause, and little more."""
+"""Time from the end of a cut: the maximum backoff and some margin."""
 
 
-async def test_calls_go_both_ways_and_answers_may_cross():
+async def test_concurrent_calls_in_both_directions_get_their_own_replies():
     async with cluster.running("a", "b") as (a, b):
         answers = {}
 
         async def ask(source, target, number):
             request = cluster.Echo(number, 0.002 * (20 - number))
             key = (target, number)
-            answers[key] = await source.call(target, request, cluster.soon())
+            answers[key] = await source.call(
+                target, request, cluster.deadline_after()
+            )
 
         async with trio.open_nursery() as nursery:
             for number in range(20):
@@ -37,24 +39,28 @@
         assert all(key[1] == echo.number for key, echo in answers.items())
 
 
-async def test_call_to_itself_runs_the_handler():
+async def test_call_of_a_vm_to_itself_runs_the_handler():
     async with cluster.running("a") as (a,):
         request = cluster.Echo(1)
-        assert await a.call("a", request, cluster.soon()) is request
+        assert await a.call("a", request, cluster.deadline_after()) is request
         with pytest.raises(errors.OutcomeUnknownError):
-            await a.call("a", cluster.Echo(1, 5), cluster.soon(0.05))
+            await a.call("a", cluster.Echo(1, 5), cluster.deadline_after(0.05))
 
 
-async def test_late_reply_to_a_forgotten_call_is_dropped():
+async def test_late_reply_to_a_call_that_timed_out_is_dropped():
     async with cluster.running("a", "b") as (a, _):
         with pytest.raises(errors.OutcomeUnknownError):
-            await a.call("b", cluster.Echo(1, 0.15), cluster.soon(0.05))
-        answer = await a.call("b", cluster.Echo(2, 0.2), cluster.soon())
+            await a.call(
+                "b", cluster.Echo(1, 0.15), cluster.deadline_after(0.05)
+            )
+        answer = await a.call(
+            "b", cluster.Echo(2, 0.2), cluster.deadline_after()
+        )
         assert answer.number == 2
         assert a.traffic.late_replies == 1
 
 
-async def test_errors_of_handlers_come_back_with_their_type():
+async def test_errors_of_handlers_keep_their_type():
     async with cluster.running("a", "b") as (a, b):
 
         async def refuse(request):
@@ -66,28 +72,28 @@
 
         b.on_call(cluster.Echo, refuse)
         with pytest.raises(errors.KeyReusedError) as caught:
-            await a.call("b", cluster.Echo(1), cluster.soon())
+            await a.call("b", cluster.Echo(1), cluster.deadline_after())
         assert caught.value.context == {"key": "k"}
         with pytest.raises(errors.ConflictError):
-            await a.call("b", cluster.Echo(2), cluster.soon())
+            await a.call("b", cluster.Echo(2), cluster.deadline_after())
         with pytest.raises(errors.LaburnumsillError) as caught:
-            await a.call("b", cluster.Echo(3), cluster.soon())
+            await a.call("b", cluster.Echo(3), cluster.deadline_after())
         assert type(caught.value) is errors.LaburnumsillError
         b.on_call(cluster.Echo, cluster.echo)
-        assert await a.call("b", cluster.Echo(4), cluster.soon())
+        assert await a.call("b", cluster.Echo(4), cluster.deadline_after())
 
 
-async def test_call_without_a_connection_was_certainly_not_sent():
+async def test_call_without_a_connection_is_unreachable_and_not_sent():
     addresses = {"a": "127.0.0.1:1", "b": "127.0.0.1:1"}
     a = cluster.make("a", addresses)
     async with trio.open_nursery() as nursery:
         await nursery.start(a.run)
         started = cluster.CLOCK.monotonic()
         with pytest.raises(errors.PeerUnreachableError):
-            await a.call("b", cluster.Echo(1), cluster.soon())
+            await a.call("b", cluster.Echo(1), cluster.deadline_after())
         assert 0.25 < cluster.CLOCK.monotonic() - started < 2
         with pytest.raises(errors.PeerUnreachableError):
-            await a.call("unknown", cluster.Echo(1), cluster.soon())
+            await a.call("unknown", cluster.Echo(1), cluster.deadline_after())
         a.notify("b", cluster.Echo(1))
         a.send_raft("b", [ttypes.RaftMessage()])
         assert a.reachable() == {"a"}
@@ -115,7 +121,7 @@
         assert a.traffic.sent_frames < 20
 
 
-async def test_peer_that_goes_and_comes_back_is_connected_again():
+async def test_restarted_peer_is_connected_again():
     addresses = {"a": "127.0.0.1:1", "b": "127.0.0.1:1"}
     a, b = cluster.make("a", addresses), cluster.make("b", addresses)
     async with trio.open_nursery() as nursery:
@@ -132,12 +138,14 @@
 
                 first.start_soon(cut)
                 with pytest.raises(errors.OutcomeUnknownError):
-                    await a.call("b", cluster.Echo(1, 3), cluster.soon())
+                    await a.call(
+                        "b", cluster.Echo(1, 3), cluster.deadline_after()
+                    )
         await cluster.until(lambda: "b" not in a.reachable(), 5)
         again = cluster.make("b", addresses, addresses["b"])
         await nursery.start(again.run)
         await cluster.until(lambda: "b" in a.reachable(), 5)
-        assert await a.call("b", cluster.Echo(2), cluster.soon())
+        assert await a.call("b", cluster.Echo(2), cluster.deadline_after())
         nursery.cancel_scope.cancel()
 
 
@@ -187,7 +195,7 @@
             await cluster.until(lambda: "a" in d.reachable(), 5)
             await again.aclose()
             nursery.cancel_scope.cancel()
-        assert await b.call("c", cluster.Echo(1), cluster.soon())
+        assert await b.call("c", cluster.Echo(1), cluster.deadline_after())
 
 
 @pytest.mark.parametrize("vm_id", ["z", "x", "stranger"])
@@ -202,7 +210,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_silent_peer_is_left_within_one_and_a_half_seconds():
+async def test_silent_peer_is_disconnected_within_one_and_a_half_seconds():
     d = cluster.make("d", {"a": "127.0.0.1:1"})
     async with trio.open_nursery() as nursery:
         await nursery.start(d.run)
@@ -211,7 +219,7 @@
         took = await cluster.until(lambda: "a" not in d.reachable(), 5)
         assert took < 1.5
         with pytest.raises(errors.PeerUnreachableError):
-            await d.call("a", cluster.Echo(1), cluster.soon(0.1))
+            await d.call("a", cluster.Echo(1), cluster.deadline_after(0.1))
         with trio.fail_after(5):
             while await stream.receive_some(1000):
                 pass
@@ -219,7 +227,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_idle_connection_stays_and_costs_few_bytes():
+async def test_idle_connection_stays_open_with_few_bytes():
     async with cluster.running("a", "b") as (a, b):
         before = a.traffic
         await trio.sleep(2.2)
@@ -229,38 +237,38 @@
         assert after.sent_bytes - before.sent_bytes <= 45
 
 
-async def test_large_call_passes_and_an_oversized_one_is_refused():
+async def test_large_call_succeeds_and_an_oversized_one_is_refused():
     async with cluster.running("a", "b") as (a, b):
         large = cluster.Echo(1, 0, "x" * 8_000_000)
-        assert await a.call("b", large, cluster.soon(30)) == large
+        assert await a.call("b", large, cluster.deadline_after(30)) == large
         oversized = cluster.Echo(1, 0, "x" * frames.MAX_FRAME_BYTES)
         with pytest.raises(failures.FrameTooLargeError):
-            await a.call("b", oversized, cluster.soon())
+            await a.call("b", oversized, cluster.deadline_after())
 
         async def grow(request):
             return oversized
 
         b.on_call(cluster.Echo, grow)
         with pytest.raises(failures.FrameTooLargeError):
-            await a.call("b", cluster.Echo(2), cluster.soon())
+            await a.call("b", cluster.Echo(2), cluster.deadline_after())
         assert "b" in a.reachable()
 
 
-def test_addresses_are_checked_early():
+def test_malformed_address_is_refused_at_construction():
     with pytest.raises(errors.InvalidConfigurationError):
         network.PeerNetwork(
             cluster.vm("a"), {"b": "nowhere"}, cluster.CLOCK, metrics.Metrics()
         )
 
 
-async def test_frozen_peer_is_left_and_comes_back():
+async def test_frozen_peer_is_disconnected_and_connected_again():
     async with cluster.behind_proxy() as (a, b, proxy):
         proxy.set_fault("b", proxies.Fault(proxies.Mode.DROP))
         outcomes = []
 
         async def ask():
             with pytest.raises(errors.OutcomeUnknownError):
-                await a.call("b", cluster.Echo(1), cluster.soon(30))
+                await a.call("b", cluster.Echo(1), cluster.deadline_after(30))
             outcomes.append("unknown")
 
         async with trio.open_nursery() as nursery:
@@ -269,19 +277,19 @@
                 lambda: a.reachable() == {"a"} and b.reachable() == {"b"}, 5
             )
             with pytest.raises(errors.PeerUnreachableError):
-                await a.call("b", cluster.Echo(2), cluster.soon())
+                await a.call("b", cluster.Echo(2), cluster.deadline_after())
         assert left < 1.5
         assert outcomes == ["unknown"]
         proxy.heal("b")
         await cluster.until(lambda: "b" in a.reachable(), 5)
-        assert await a.call("b", cluster.Echo(3), cluster.soon())
+        assert await a.call("b", cluster.Echo(3), cluster.deadline_after())
 
 
-async def test_a_connection_gone_silent_is_replaced_soon():
-    """Also one that is silent one way, on which the other end still hears."""
+async def test_silent_connection_is_replaced_within_its_limit():
+    """Covers connections that are silent in one or in both directions."""
     async with cluster.behind_proxy() as (a, b, proxy):
         for direction in proxies.Direction:
-            await trio.sleep(network.STABLE_S + 0.1)
+            await trio.sleep(network.BACKOFF_RESET_S + 0.1)
             proxy.silence("b", direction)
             silent_at = cluster.CLOCK.monotonic()
             await _until_answered(a, "b")
@@ -291,11 +299,11 @@
             assert took_s < REPLACED_WITHIN_S
 
 
-async def test_a_peer_cut_off_for_long_is_dialed_soon_after_its_return():
-    """However the pauses between the attempts have grown meanwhile."""
+async def test_peer_is_dialed_within_its_limit_after_a_long_cut():
+    """The limit holds although the backoff has reached its maximum."""
     async with cluster.behind_proxy() as (a, _, proxy):
         for cut_s in (4.0, 4.3, 4.6, 4.9):
-            await trio.sleep(network.STABLE_S + 0.1)
+            await trio.sleep(network.BACKOFF_RESET_S + 0.1)
             proxy.set_fault("b", proxies.Fault(proxies.Mode.DROP))
             await trio.sleep(cut_s)
             proxy.heal("b")
@@ -310,13 +318,15 @@
     with trio.fail_after(10):
         while True:
             with contextlib.suppress(errors.LaburnumsillError):
-                await source.call(target, cluster.Echo(1), cluster.soon(0.1))
+                await source.call(
+                    target, cluster.Echo(1), cluster.deadline_after(0.1)
+                )
                 return
             await trio.sleep(0.01)
 
 
 @pytest.mark.parametrize("mode", [proxies.Mode.CUT, proxies.Mode.RESET])
-async def test_connection_cut_in_mid_call_leaves_the_outcome_unknown(mode):
+async def test_connection_lost_during_a_call_leaves_the_outcome_unknown(mode):
     async with cluster.behind_proxy() as (a, b, proxy):
         runs = []
 
@@ -326,13 +336,13 @@
 
         b.on_call(cluster.Echo, run)
         with pytest.raises(errors.OutcomeUnknownError):
-            await a.call("b", cluster.Echo(1), cluster.soon())
+            await a.call("b", cluster.Echo(1), cluster.deadline_after())
         with pytest.raises(errors.PeerUnreachableError):
-            await a.call("b", cluster.Echo(2), cluster.soon())
+            await a.call("b", cluster.Echo(2), cluster.deadline_after())
         proxy.heal("b")
         b.on_call(cluster.Echo, cluster.echo)
         await cluster.until(lambda: "b" in a.reachable(), 5)
-        assert await a.call("b", cluster.Echo(3), cluster.soon())
+        assert await a.call("b", cluster.Echo(3), cluster.deadline_after())
         assert runs == [1]
 
 
@@ -353,7 +363,7 @@
 
         async def ask():
             with pytest.raises(errors.OutcomeUnknownError):
-                await a.call("b", cluster.Echo(1), cluster.soon())
+                await a.call("b", cluster.Echo(1), cluster.deadline_after())
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
@@ -361,23 +371,23 @@
             proxy.set_fault("b", proxies.Fault(proxies.Mode.RESET))
         proxy.heal("b")
         await cluster.until(lambda: "b" in a.reachable(), 5)
-        answer = await a.call("b", cluster.Echo(2), cluster.soon())
+        answer = await a.call("b", cluster.Echo(2), cluster.deadline_after())
         assert answer.number == 2
         assert a.traffic.late_replies == 0
 
 
-async def test_reply_cut_short_never_reaches_a_call():
+async def test_truncated_reply_leaves_the_outcome_unknown():
     async with cluster.behind_proxy() as (a, _, proxy):
         fault = proxies.Fault(cut_after_bytes=5_000)
         proxy.set_fault("b", fault, proxies.Direction.FROM_TARGET)
         with pytest.raises(errors.OutcomeUnknownError):
             request = cluster.Echo(1, 0, "x" * 10_000)
-            await a.call("b", request, cluster.soon())
+            await a.call("b", request, cluster.deadline_after())
 
 
-async def test_slow_bulk_is_not_taken_for_silence():
+async def test_slow_transfer_does_not_time_out_as_silent():
     async with cluster.behind_proxy() as (a, _, proxy):
         proxy.set_fault("b", proxies.Fault(bytes_per_s=200_000))
         bulk = cluster.Echo(1, 0, "x" * 400_000)
-        assert await a.call("b", bulk, cluster.soon(30)) == bulk
+        assert await a.call("b", bulk, cluster.deadline_after(30)) == bulk
         assert a.reachable() == {"a", "b"}
--- a/laburnumsill/wire/tests/test_outbox.py
+++ b/laburnumsill/wire/tests/test_outbox.py
@@ -14,44 +14,44 @@
     )
 
 
-def drained(box):
-    gathered = []
+def drain(box):
+    sent_frames = []
     while box:
-        gathered.append(box.gather())
-    return gathered
+        sent_frames.append(box.next_frame())
+    return sent_frames
 
 
-def test_all_that_waits_goes_into_one_frame():
+def test_all_queued_messages_go_into_one_frame():
     box = outbox.Outbox()
     box.add_raft([raft(1), raft(2)])
     box.add_call(ttypes.Call(1, b"", 0.0))
     box.add_reply(ttypes.Reply(2, True, b""))
     box.add_notice(b"n")
-    (frame,) = drained(box)
+    (frame,) = drain(box)
     assert [len(part) for part in (frame.raft, frame.calls)] == [2, 1]
     assert [len(part) for part in (frame.replies, frame.notices)] == [1, 1]
 
 
-def test_bulk_of_one_kind_does_not_hold_up_the_other():
+def test_bulk_in_one_queue_does_not_delay_the_other():
     box = outbox.Outbox()
     box.add_raft(raft(n, CHUNK) for n in range(40))
     for number in range(40):
         box.add_notice(CHUNK + str(number).encode())
-    gathered = drained(box)
-    assert all(frame.raft or frame.notices for frame in gathered)
-    assert gathered[0].raft and gathered[1].notices
-    sent = [m.index for frame in gathered for m in frame.raft or ()]
+    sent_frames = drain(box)
+    assert all(frame.raft or frame.notices for frame in sent_frames)
+    assert sent_frames[0].raft and sent_frames[1].notices
+    sent = [m.index for frame in sent_frames for m in frame.raft or ()]
     assert sent == list(range(40))
-    assert sum(len(frame.notices or ()) for frame in gathered) == 40
+    assert sum(len(frame.notices or ()) for frame in sent_frames) == 40
 
 
-def test_oldest_raft_messages_are_dropped_beyond_the_bound():
+def test_oldest_raft_messages_are_dropped_over_the_limit():
     box = outbox.Outbox()
     for number in range(200):
         box.add_raft([raft(number, CHUNK)])
-    sent = [m.index for frame in drained(box) for m in frame.raft]
+    sent = [m.index for frame in drain(box) for m in frame.raft]
     assert sent[-1] == 199
-    assert len(sent) * len(CHUNK) <= outbox.RAFT_QUEUE_BYTES
+    assert len(sent) * len(CHUNK) <= outbox.MAX_RAFT_QUEUE_BYTES
     assert box.dropped == 200 - len(sent)
 
 
@@ -62,11 +62,11 @@
     with pytest.raises(errors.OverloadedError):
         box.add_call(ttypes.Call(1, b"", 0.0))
     box.add_notice(b"")
-    assert (len(drained(box)), box.dropped) == (1, 1)
+    assert (len(drain(box)), box.dropped) == (1, 1)
     for _ in range(200):
         box.add_notice(CHUNK)
-    sent = sum(len(frame.notices) for frame in drained(box))
-    assert sent * len(CHUNK) <= outbox.QUEUE_BYTES
+    sent = sum(len(frame.notices) for frame in drain(box))
+    assert sent * len(CHUNK) <= outbox.MAX_QUEUE_BYTES
     assert box.dropped == 1 + 200 - sent
     with pytest.raises(failures.FrameTooLargeError):
         box.add_reply(ttypes.Reply(1, True, big + b"x" * 1000))
@@ -77,6 +77,6 @@
     first = box.add_call(ttypes.Call(1, b"", 0.0))
     second = box.add_call(ttypes.Call(2, b"", 0.0))
     first.withdrawn = True
-    (frame,) = drained(box)
+    (frame,) = drain(box)
     assert [call.call_id for call in frame.calls] == [2]
-    assert (first.taken, second.taken) == (False, True)
+    assert (first.maybe_sent, second.maybe_sent) == (False, True)
