--- a/laburnumsill/core/__init__.py
+++ b/laburnumsill/core/__init__.py
@@ -1,1 +1,1 @@
-"""Errors, ids, clocks and interfaces that every other subpackage rests on."""
+"""Errors, ids, clocks and interfaces that all other subpackages use."""
--- a/laburnumsill/core/clock.py
+++ b/laburnumsill/core/clock.py
@@ -1,20 +1,19 @@
 """Clocks and deadlines.
 
-A deadline is a point in time in seconds. Inside one process it is a point on
-the monotonic clock; between processes and in replicated state it is a point
-on the wall clock (Unix seconds, UTC), whose drift between VMs is bounded by
-`MAX_CLOCK_DRIFT_S`.
+A deadline is a time in seconds: inside one process by the monotonic clock,
+between processes and in replicated state by the wall clock (Unix seconds,
+UTC). The wall clocks of two VMs differ by at most `MAX_CLOCK_DRIFT_S`.
 """
 
 import abc
 import time
 
 BOOT_TIME = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-"""The steady clock that also counts the time in which the machine was
-suspended; the plain one where the system has no such clock."""
+"""The monotonic clock that includes the time in which the machine was
+suspended, or the ordinary monotonic clock if the system lacks it."""
 
 MAX_CLOCK_DRIFT_S = 0.25
-"""How far apart, in seconds, the wall clocks of any two VMs may be."""
+"""Maximum difference between the wall clocks of any two VMs."""
 
 
 class Clock(abc.ABC):
@@ -22,14 +21,14 @@
 
     @abc.abstractmethod
     def monotonic(self) -> float:
-        """Returns seconds that never go backwards."""
+        """Returns the monotonic time in seconds."""
 
     @abc.abstractmethod
     def wall(self) -> float:
-        """Returns Unix seconds, UTC."""
+        """Returns the wall time in Unix seconds, UTC."""
 
     def wall_ms(self) -> int:
-        """Returns whole Unix milliseconds, UTC.
+        """Returns the wall time in whole Unix milliseconds, UTC.
 
         Examples:
             >>> ManualClock(1.9999).wall_ms()
@@ -38,11 +37,11 @@
         return int(self.wall() * 1000)
 
     def wall_deadline(self, monotonic_deadline: float) -> float:
-        """Returns the wall-clock point of a monotonic deadline."""
+        """Converts a monotonic deadline to wall time."""
         return self.wall() + (monotonic_deadline - self.monotonic())
 
     def monotonic_deadline(self, wall_deadline: float) -> float:
-        """Returns the monotonic point of a wall-clock deadline."""
+        """Converts a wall-clock deadline to monotonic time."""
         return self.monotonic() + (wall_deadline - self.wall())
 
 
@@ -50,37 +49,37 @@
     """The clock of the operating system."""
 
     def monotonic(self) -> float:
-        """Returns the time since boot, in which suspensions count.
+        """Returns the time since boot, including suspensions.
 
-        Leases and confirmations age while a machine is suspended. The origin
-        is not that of `time.monotonic`, nor that of trio's clock.
+        Leases and confirmations expire while a machine is suspended. The
+        origin differs from those of `time.monotonic` and of trio's clock.
         """
         return time.clock_gettime(BOOT_TIME)
 
     def wall(self) -> float:
-        """Returns `time.time`."""
+        """Returns the result of `time.time`."""
         return time.time()
 
 
 class TimeLeftClock(SystemClock):
-    """A clock whose deadlines leave the process as the time that is left.
+    """A clock that converts deadlines to the remaining time.
 
-    For VMs whose wall clocks may jump by seconds: a deadline that is sent to
-    another VM is then longer by the time that the message takes, and nothing
-    worse. All VMs of one system must use the same kind of clock.
+    For VMs whose wall clocks may jump by seconds: a deadline sent to another
+    VM is only extended by the latency of the message. All VMs of one system
+    must use the same kind of clock.
     """
 
     def wall_deadline(self, monotonic_deadline: float) -> float:
-        """Returns the seconds left until a monotonic deadline."""
+        """Converts a monotonic deadline to the remaining seconds."""
         return monotonic_deadline - self.monotonic()
 
     def monotonic_deadline(self, wall_deadline: float) -> float:
-        """Returns the monotonic point that lies so many seconds ahead."""
+        """Converts remaining seconds to a monotonic deadline."""
         return self.monotonic() + wall_deadline
 
 
 class ManualClock(Clock):
-    """A clock that moves only when told to, for tests and virtual time.
+    """A clock that only `advance` moves, for tests and virtual time.
 
     Examples:
         >>> clock = ManualClock()
@@ -93,13 +92,13 @@
         self._now = start
 
     def advance(self, seconds: float) -> None:
-        """Moves the clock on by `seconds`."""
+        """Advances the clock by `seconds`."""
         self._now += seconds
 
     def monotonic(self) -> float:
-        """Returns the present point."""
+        """Returns the current time of this clock."""
         return self._now
 
     def wall(self) -> float:
-        """Returns the present point."""
+        """Returns the current time of this clock."""
         return self._now
--- a/laburnumsill/core/codec.py
+++ b/laburnumsill/core/codec.py
@@ -1,9 +1,9 @@
 """Encoding of data classes for the log, snapshots and calls between VMs.
 
-A message is the pair of its registered name and its fields in MessagePack.
-Only registered data classes are accepted, so that a byte string from a disk
-or a peer can only become one of them. Renaming a registered class changes
-the format: give `register` the old name then.
+A message is encoded in MessagePack as the pair of its registered name and its
+fields. Only registered data classes are decoded, whatever bytes a disk or a
+peer delivers. The registered name is part of the format and must stay the
+same when a class is renamed.
 """
 
 import typing
@@ -23,17 +23,17 @@
 
 
 class UndecodableMessageError(errors.LaburnumsillError):
-    """Bytes that are no message of a registered type."""
+    """Bytes are not a message of a registered type."""
 
     slug = "undecodable-message"
     title = "Undecodable message"
 
 
 def register(name: str) -> abc.Callable[[type[T]], type[T]]:
-    """Registers a data class under a name that never changes.
+    """Returns a decorator that registers a data class under a fixed name.
 
     Args:
-        name: The name on the wire and on disk, unique in the project.
+        name: The name on the wire and on disk, unique in the system.
 
     Examples:
         >>> import dataclasses
@@ -46,9 +46,12 @@
     """
 
     def add(cls: type[T]) -> type[T]:
-        known = _types.get(name)
-        if known is not None and known.__qualname__ != cls.__qualname__:
-            raise ValueError(f"{name!r} is registered for {known!r}")
+        registered = _types.get(name)
+        if (
+            registered is not None
+            and registered.__qualname__ != cls.__qualname__
+        ):
+            raise ValueError(f"{name!r} is registered for {registered!r}")
         _types[name] = cls
         _names[cls] = name
         return cls
@@ -69,10 +72,11 @@
 
 
 def decode(raw: bytes) -> typing.Any:
-    """Returns the message that `encode` made `raw` from.
+    """Returns the message encoded in `raw`.
 
     Raises:
-        UndecodableMessageError: `raw` is damaged or of an unknown type.
+        UndecodableMessageError: `raw` is damaged or of an unregistered
+            type.
     """
     try:
         name, body = _pair_decoder.decode(raw)
--- a/laburnumsill/core/errors.py
+++ b/laburnumsill/core/errors.py
@@ -1,9 +1,9 @@
-"""The exception tree.
+"""The exception hierarchy.
 
-Every failure that leaves a function has a type from this tree. A type owns
-its stable slug (used as the RFC 9457 ``type``), its HTTP status and its
-title; an instance adds a detail for people and typed context for programs.
-Errors travel between VMs by slug, see `to_record` and `from_record`.
+Failures are raised as classes of this hierarchy. A class defines its stable
+slug (the RFC 9457 ``type``), its HTTP status and its title; an instance adds
+a human-readable detail and typed context for programs. Errors are sent
+between VMs by slug, see `to_record` and `from_record`.
 """
 
 import dataclasses
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ErrorRecord:
-    """An error in a form that can be encoded and sent to another VM."""
+    """The encodable form of an error, sent to other VMs."""
 
     slug: str
     detail: str
@@ -23,12 +23,12 @@
 
 
 class LaburnumsillError(Exception):
-    """The root of the tree.
+    """Base class of all errors.
 
     Attributes:
-        detail: What went wrong, with the offending value.
+        detail: A human-readable description with the offending value.
         retry_after_s: Seconds after which a retry may help, or None.
-        context: Typed fields for programs, such as the winning version.
+        context: Typed fields for programs, such as the accepted version.
     """
 
     slug: ClassVar[str] = "internal"
@@ -59,17 +59,17 @@
         LaburnumsillError._by_slug.setdefault(cls.slug, cls)
 
     def to_record(self) -> ErrorRecord:
-        """Returns this error in its encodable form."""
+        """Returns the encodable form of this error."""
         return ErrorRecord(
             self.slug, self.detail, self.retry_after_s, dict(self.context)
         )
 
     @staticmethod
     def from_record(record: ErrorRecord) -> "LaburnumsillError":
-        """Returns the error that `record` describes, with its own type.
+        """Returns the error of a record, as an instance of its class.
 
         Args:
-            record: What `to_record` returned, maybe on another VM.
+            record: The result of `to_record`, possibly of another VM.
 
         Examples:
             >>> record = NotFoundError("no job j1", job="j1").to_record()
@@ -85,7 +85,7 @@
 
 
 class InvalidInputError(LaburnumsillError):
-    """The caller sent something that can never be accepted as it stands."""
+    """The request is invalid and must not be retried unchanged."""
 
     slug = "invalid-input"
     status = 400
@@ -93,14 +93,14 @@
 
 
 class MissingKeyError(InvalidInputError):
-    """An `Idempotency-Key` is needed and was not sent."""
+    """A request lacks the required `Idempotency-Key`."""
 
     slug = "missing-key"
     title = "Idempotency-Key is required"
 
 
 class KeyReusedError(InvalidInputError):
-    """The same key came with another body."""
+    """An `Idempotency-Key` was reused with another body."""
 
     slug = "key-reused"
     status = 422
@@ -108,7 +108,7 @@
 
 
 class UnknownNameError(InvalidInputError):
-    """A service, class, account or group that the configuration lacks."""
+    """The configuration lacks a service, class, account or group."""
 
     slug = "unknown-name"
     status = 404
@@ -116,7 +116,7 @@
 
 
 class TooLargeError(InvalidInputError):
-    """A body over its limit."""
+    """A body exceeds its size limit."""
 
     slug = "too-large"
     status = 413
@@ -124,14 +124,14 @@
 
 
 class DeadlinePassedError(InvalidInputError):
-    """The request came with no time left."""
+    """The deadline of a request had passed when it arrived."""
 
     slug = "deadline-passed"
     title = "Deadline has passed"
 
 
 class InvalidConfigurationError(InvalidInputError):
-    """A configuration or settings file that does not validate."""
+    """A configuration or settings file is invalid."""
 
     slug = "invalid-configuration"
     status = 422
@@ -139,7 +139,7 @@
 
 
 class JobImpossibleError(InvalidInputError):
-    """A job that no failure domain could ever hold."""
+    """A job exceeds the capacity of every failure domain."""
 
     slug = "job-impossible"
     status = 422
@@ -147,7 +147,7 @@
 
 
 class NotFoundError(LaburnumsillError):
-    """The named thing does not exist."""
+    """The requested object does not exist."""
 
     slug = "not-found"
     status = 404
@@ -155,7 +155,7 @@
 
 
 class ConflictError(LaburnumsillError):
-    """The request clashes with the present state."""
+    """The request conflicts with the current state."""
 
     slug = "conflict"
     status = 409
@@ -170,7 +170,7 @@
 
 
 class InProgressError(ConflictError):
-    """The same request is being run; its answer is not known yet."""
+    """The same request is in progress; its answer is not known yet."""
 
     slug = "in-progress"
     title = "The same request is in progress"
@@ -178,7 +178,7 @@
 
 
 class UnavailableError(LaburnumsillError):
-    """Nothing was done and nothing will be; a later retry may succeed."""
+    """The request was not and will not be executed; a retry may succeed."""
 
     slug = "unavailable"
     status = 503
@@ -187,7 +187,7 @@
 
 
 class NoQuorumError(UnavailableError):
-    """A group has no leader that can be reached from here."""
+    """A group has no leader that this VM can reach."""
 
     slug = "no-quorum"
     title = "The group has no reachable leader"
@@ -201,21 +201,21 @@
 
 
 class OverloadedError(UnavailableError):
-    """A limit or a queue is full, or waiting took too long."""
+    """A limit was reached, a queue is full, or a wait timed out."""
 
     slug = "overloaded"
     title = "OverloadedError"
 
 
 class NoServerError(UnavailableError):
-    """No backend server can take the request."""
+    """No backend server is available for the request."""
 
     slug = "no-server"
     title = "No backend server can take the request"
 
 
 class OutcomeUnknownError(LaburnumsillError):
-    """Something was sent and its outcome is lost; it may have happened."""
+    """A request was sent and may have been executed; its outcome is lost."""
 
     slug = "outcome-unknown"
     status = 504
@@ -223,7 +223,7 @@
 
 
 class ProposalLostError(OutcomeUnknownError):
-    """A command was proposed and it is unknown whether it was committed."""
+    """A command was proposed and may or may not have been committed."""
 
     slug = "proposal-lost"
     status = 503
@@ -232,7 +232,7 @@
 
 
 class StorageError(LaburnumsillError):
-    """A disk failed in a way that the process must not go on from."""
+    """A disk failure after which the process must not continue."""
 
     slug = "storage"
     title = "Storage failure"
--- a/laburnumsill/core/hashing.py
+++ b/laburnumsill/core/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: a stable choice that moves little when sets change.
+"""Rendezvous hashing: a stable choice of nodes with few moves on changes.
 
 References:
     D. Thaler, C. Ravishankar, "Using Name-Based Mappings to Increase Hit
@@ -11,10 +11,10 @@
 
 
 def rendezvous_order(key: str, nodes: abc.Iterable[str]) -> list[str]:
-    """Returns `nodes` by falling weight for `key`.
+    """Returns `nodes` in descending order of their weight for `key`.
 
     Args:
-        key: What is to be placed.
+        key: The key to place.
         nodes: The candidates, in any order.
 
     Examples:
@@ -44,5 +44,5 @@
 
 
 def digest(raw: bytes) -> str:
-    """Returns the 128-bit digest of `raw` in hex, for comparing bodies."""
+    """Returns a 128-bit digest of `raw` in hex, used to compare bodies."""
     return xxhash.xxh3_128_hexdigest(raw)
--- a/laburnumsill/core/ids.py
+++ b/laburnumsill/core/ids.py
@@ -1,4 +1,4 @@
-"""Identifiers and how fresh ones are made."""
+"""Types of identifiers, and functions that create and parse them."""
 
 import secrets
 import typing
@@ -12,22 +12,22 @@
 RequestId = typing.NewType("RequestId", str)
 
 ROOT_GROUP = GroupName("root")
-"""The name of the root group; a domain's group bears the domain's name."""
+"""The name of the root group; see `domain_group` for the others."""
 
-_FRESH_BYTES = 10
+_RANDOM_BYTES = 10
 
 
 def fresh(prefix: str) -> str:
     """Returns a new identifier: the prefix, a dash and 20 random hex digits.
 
     Args:
-        prefix: What the identifier names, for people who read logs.
+        prefix: The kind of the identified object, for readers of logs.
     """
-    return f"{prefix}-{secrets.token_hex(_FRESH_BYTES)}"
+    return f"{prefix}-{secrets.token_hex(_RANDOM_BYTES)}"
 
 
 def domain_group(domain: str) -> GroupName:
-    """Returns the name of the group that owns a failure domain's state.
+    """Returns the name of the group that replicates a failure domain's state.
 
     Examples:
         >>> domain_group("north")
@@ -37,7 +37,7 @@
 
 
 def job_id(domain: str, suffix: str) -> JobId:
-    """Returns a job id that carries its home domain.
+    """Returns a job id that contains the home domain of the job.
 
     Examples:
         >>> job_id("north", "5f")
@@ -47,7 +47,7 @@
 
 
 def job_home(identifier: str) -> DomainName:
-    """Returns the home domain that a job id carries.
+    """Returns the home domain that a job id contains.
 
     Examples:
         >>> job_home("north.5f")
--- a/laburnumsill/core/log_limits.py
+++ b/laburnumsill/core/log_limits.py
@@ -1,4 +1,4 @@
-"""Bounds on what is logged: by the event, and never waiting for the reader."""
+"""Rate limits for log events, and a log sink that does not block."""
 
 import errno
 import os
@@ -7,17 +7,20 @@
 from collections import abc
 
 LINES_A_SECOND = 100.0
-"""Lines of one event in the long run: a busy VM decides some tens a second."""
+"""Sustained rate of lines per event; a busy VM logs some tens of decisions a
+second."""
 
 BURST_LINES = 400.0
-"""Lines of one event at once: a plan for a whole site after a failure."""
+"""Burst of lines per event, enough for a plan for a whole site after a
+failure."""
 
 MAX_EVENTS = 1_000
-"""Events that are told apart; their names are constants of the program."""
+"""Maximum number of token buckets, one per event. Event names are constants of
+the program."""
 
 
 class EventLimiter:
-    """Lets each event through at a bounded rate and counts the rest.
+    """Limits the rate of each event by a token bucket and counts drops.
 
     Examples:
         >>> limiter = EventLimiter(1.0, 2.0, lambda: 0.0)
@@ -40,7 +43,7 @@
         self._buckets: dict[str, _Bucket] = {}
 
     def admit(self, event: str) -> int | None:
-        """Returns None if a line is left out, else how many were before."""
+        """Returns None to drop a line, else the number dropped before it."""
         now = self._now()
         bucket = self._buckets.get(event)
         if bucket is None:
@@ -51,53 +54,54 @@
         bucket.tokens = min(bucket.tokens, self._burst)
         bucket.filled_at = now
         if bucket.tokens < 1.0:
-            bucket.left_out += 1
+            bucket.dropped += 1
             return None
         bucket.tokens -= 1.0
-        left_out, bucket.left_out = bucket.left_out, 0
-        return left_out
+        dropped, bucket.dropped = bucket.dropped, 0
+        return dropped
 
 
 class _Bucket:
     def __init__(self, tokens: float, filled_at: float) -> None:
         self.tokens = tokens
         self.filled_at = filled_at
-        self.left_out = 0
+        self.dropped = 0
 
 
 class NonBlockingSink:
-    """Writes lines to a file descriptor; one that does not fit is counted.
+    """Writes lines to a file descriptor without blocking.
 
-    A reader that does not read must not stop the daemon. What was left out
-    is said in a line of its own as soon as there is room.
+    A reader that does not read must not block the daemon. Lines that do not
+    fit into the pipe are dropped, and a line with their number is written
+    once writing succeeds again.
     """
 
     def __init__(self, stream: typing.TextIO) -> None:
         self._descriptor = stream.fileno()
-        self._rest = b""
-        self._left_out = 0
+        self._unwritten = b""
+        self._dropped = 0
         os.set_blocking(self._descriptor, False)
 
     def write(self, line: str) -> None:
-        """Writes a line, or counts it as left out."""
+        """Writes a line, or drops and counts it."""
         if not self._flush():
-            self._left_out += 1
+            self._dropped += 1
             return
-        if self._left_out:
-            note = f"level=WARNING event=log-lines-lost count={self._left_out}"
-            self._left_out = 0
-            self._rest = note.encode() + b"\n"
-        self._rest += line.encode()
+        if self._dropped:
+            note = f"level=WARNING event=log-lines-lost count={self._dropped}"
+            self._dropped = 0
+            self._unwritten = note.encode() + b"\n"
+        self._unwritten += line.encode()
         self._flush()
 
     def _flush(self) -> bool:
-        """Writes what is left of earlier lines; returns whether all went."""
-        while self._rest:
+        """Writes the unwritten bytes; returns whether all were written."""
+        while self._unwritten:
             try:
-                written = os.write(self._descriptor, self._rest)
+                written = os.write(self._descriptor, self._unwritten)
             except OSError as error:
                 if error.errno not in (errno.EAGAIN, errno.EINTR):
-                    self._rest = b""  # nobody reads any more
+                    self._unwritten = b""  # the reader has closed the pipe
                 return False
-            self._rest = self._rest[written:]
+            self._unwritten = self._unwritten[written:]
         return True
--- a/laburnumsill/core/logs.py
+++ b/laburnumsill/core/logs.py
@@ -13,10 +13,16 @@
 
 
 def set_up_bounded(level: str, vm: str, stream: typing.TextIO) -> None:
-    """Like `set_up`, at a bounded rate and never waiting for the reader."""
+    """Sends events to `stream` with rate limits and without blocking.
+
+    Args:
+        level: A loguru level name, such as ``INFO``.
+        vm: The id of this VM, on every line.
+        stream: The stream, which is set to non-blocking mode.
+    """
     global _limiter
     _limiter = log_limits.EventLimiter()
-    _send_to(log_limits.NonBlockingSink(stream).write, level, vm)
+    _set_sink(log_limits.NonBlockingSink(stream).write, level, vm)
 
 
 def set_up(level: str, vm: str) -> None:
@@ -26,33 +32,33 @@
         level: A loguru level name, such as ``INFO``.
         vm: The id of this VM or the name of this program, on every line.
     """
-    _send_to(sys.stderr, level, vm)
+    _set_sink(sys.stderr, level, vm)
 
 
 def event(name: str, /, level: str = "INFO", **fields: object) -> None:
-    """Writes one event.
+    """Writes an event as one line.
 
     Args:
-        name: What happened, in lower case with dashes.
+        name: The name of the event, in lower case with dashes.
         level: A loguru level name.
-        **fields: Further pairs; values with blanks are quoted.
+        **fields: Further keys and values; values with blanks are quoted.
     """
     if _limiter is not None:
-        left_out = _limiter.admit(name)
-        if left_out is None:
+        dropped = _limiter.admit(name)
+        if dropped is None:
             return
-        if left_out:
-            fields["left_out_before"] = left_out
+        if dropped:
+            fields["left_out_before"] = dropped
     pairs = " ".join(f"{key}={_text(value)}" for key, value in fields.items())
     loguru.logger.log(level, "{}", f"event={name} {pairs}".rstrip())
 
 
 def decision(name: str, /, **fields: object) -> None:
-    """Writes one routing or placement decision: what was chosen and why."""
+    """Writes an event of a routing or placement decision with its reasons."""
     event(name, level="INFO", kind="decision", **fields)
 
 
-def _send_to(sink: typing.Any, level: str, vm: str) -> None:
+def _set_sink(sink: typing.Any, level: str, vm: str) -> None:
     loguru.logger.remove()
     loguru.logger.add(
         sink, level=level, format=f"{_FORMAT} vm={vm}", catch=True
@@ -60,7 +66,7 @@
 
 
 def _text(value: object) -> str:
-    """Returns `value` as one word, quoted where it would not be one."""
+    """Returns `value` as text, quoted if it is empty or not a single word."""
     if isinstance(value, float):
         return f"{value:.6g}"
     text = str(value)
--- a/laburnumsill/core/members.py
+++ b/laburnumsill/core/members.py
@@ -1,4 +1,4 @@
-"""What is known of backend servers and workers."""
+"""Announced state of backend servers and workers."""
 
 import abc
 import dataclasses
@@ -9,19 +9,19 @@
 @codec.register("members.server")
 @dataclasses.dataclass(frozen=True, slots=True)
 class BackendServer:
-    """One backend server of a service, as it announced itself.
+    """A backend server of a service, as it announced itself.
 
     Attributes:
         server_id: Its name, unique in its service.
-        service: The service it belongs to.
+        service: Its service.
         domain: Its failure domain.
-        address: ``host:port`` where it takes requests.
-        incarnation: New for each start of its process.
-        sequence: Grows with each announcement of an incarnation.
-        slots: Requests it runs at a time.
-        connections: Connections it takes.
-        busy: Slots in use when it announced itself.
-        leaving: Whether it wants no new work.
+        address: ``host:port`` at which it accepts requests.
+        incarnation: An id that is new at each start of its process.
+        sequence: Number of the announcement, rising in an incarnation.
+        slots: Number of requests that it runs at a time.
+        connections: Number of connections that it accepts.
+        busy: Number of slots in use at the announcement.
+        leaving: Whether it is leaving and accepts no new work.
     """
 
     server_id: str
@@ -39,19 +39,19 @@
 @codec.register("members.worker")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Worker:
-    """One worker VM, as it announced itself.
+    """A worker VM, as it announced itself.
 
     Attributes:
         worker_id: Its name, unique in the system.
         domain: Its failure domain.
         rack: Its rack, unique in the domain.
         address: ``host:port`` of its task interface.
-        incarnation: New for each start of its process.
-        sequence: Grows with each announcement of an incarnation.
-        cores: Processor cores.
+        incarnation: An id that is new at each start of its process.
+        sequence: Number of the announcement, rising in an incarnation.
+        cores: Number of processor cores.
         memory_gb: Memory in GB.
-        accelerators: Accelerators.
-        leaving: Whether it wants no new work.
+        accelerators: Number of accelerators.
+        leaving: Whether it is leaving and accepts no new work.
     """
 
     worker_id: str
@@ -67,12 +67,12 @@
 
 
 class MemberView(abc.ABC):
-    """The members that may get work now, as this VM knows them."""
+    """The members that this VM considers available for work."""
 
     @abc.abstractmethod
     def servers(self, service: str) -> tuple[BackendServer, ...]:
-        """Returns the present backend servers of a service."""
+        """Returns the available backend servers of a service."""
 
     @abc.abstractmethod
     def workers(self, domain: str) -> tuple[Worker, ...]:
-        """Returns the present workers of a failure domain."""
+        """Returns the available workers of a failure domain."""
--- a/laburnumsill/core/metrics.py
+++ b/laburnumsill/core/metrics.py
@@ -1,8 +1,8 @@
 """Counters, gauges and histograms, rendered as Prometheus text.
 
 The registry and its rendering are synchronous, so they run under any event
-loop. Label sets must be bounded: client accounts, classes and outcomes, and
-never keys, paths or ids.
+loop. Label values must be from bounded sets, such as client accounts, classes
+and outcomes; keys, paths and ids must not be labels.
 """
 
 import typing
@@ -30,7 +30,7 @@
 
 
 class Metrics:
-    """The metrics of one daemon; each is made when first used.
+    """The metrics of one daemon, each created on first use.
 
     Examples:
         >>> metrics = Metrics()
@@ -48,11 +48,11 @@
         self._get(aioprometheus.Counter, name).add(labels, by)
 
     def gauge(self, name: str, value: float, **labels: str) -> None:
-        """Sets a gauge."""
+        """Sets a gauge to `value`."""
         self._get(aioprometheus.Gauge, name).set(labels, value)
 
     def observe(self, name: str, seconds: float, **labels: str) -> None:
-        """Adds one observation, in seconds, to a latency histogram."""
+        """Adds an observation to a latency histogram."""
         self._get(aioprometheus.Histogram, name).observe(labels, seconds)
 
     def render(self) -> tuple[bytes, dict[str, str]]:
--- a/laburnumsill/core/replication.py
+++ b/laburnumsill/core/replication.py
@@ -1,7 +1,7 @@
 """Interfaces between the replicated state, its host and its users.
 
-`Groups` is all that the request router, the job scheduler and the operators'
-interface know of consensus; `Peers` is all that they know of other VMs.
+The request router, the job scheduler and the operators' interface access
+consensus only through `Groups` and other VMs only through `Peers`.
 """
 
 import abc
@@ -21,50 +21,50 @@
 
 
 class Component(abc.ABC):
-    """One part of a replicated state machine.
-
-    A component is deterministic: it reads no clock, draws no random numbers
-    and does no I/O. A command carries the time it was proposed at where it
-    needs one. Every command is idempotent under its own key, because a
-    proposer whose answer was lost proposes it again. A handler may raise
-    `errors.LaburnumsillError`; the proposer gets it, and the state must be
-    unchanged then.
+    """A component of a replicated state machine.
+
+    A component is deterministic: it reads no clock, generates no random
+    numbers and does no I/O. A command that needs the time contains the time
+    of its proposal. Commands are idempotent by their key, because a proposer
+    whose answer was lost proposes its command again. A handler that refuses a
+    command raises `errors.LaburnumsillError` to the proposer and must leave
+    the state unchanged.
     """
 
     @property
     @abc.abstractmethod
     def name(self) -> str:
-        """The key of this part in a snapshot."""
+        """The key of this component in a snapshot."""
 
     @abc.abstractmethod
     def commands(self) -> dict[type, Handler]:
-        """Returns a handler for each command type; each changes state."""
+        """Returns the handlers, which may change the state, by command type."""
 
     @abc.abstractmethod
     def queries(self) -> dict[type, Handler]:
-        """Returns a handler for each query type; none changes state."""
+        """Returns the handlers, which are read-only, by query type."""
 
     @abc.abstractmethod
     def dump(self) -> bytes:
-        """Returns the whole state of this part, encoded."""
+        """Returns the encoded state of this component."""
 
     @abc.abstractmethod
     def load(self, raw: bytes) -> None:
-        """Replaces the state of this part by one that `dump` returned."""
+        """Replaces the state of this component by a result of `dump`."""
 
 
 @codec.register("replication.confirmation")
 class Confirmation(msgspec.Struct, frozen=True):
-    """Asks for nothing but what each answer says: that the lead is confirmed.
+    """A query that only confirms the leadership of the VM that answers it.
 
-    All state machines answer it, with None.
+    All state machines answer it with None.
     """
 
 
 @codec.register("replication.snapshot")
 @dataclasses.dataclass(frozen=True, slots=True)
 class MachineSnapshot:
-    """The dumps of all components, by name."""
+    """A snapshot: the dumps of all components, by name."""
 
     parts: dict[str, bytes]
 
@@ -72,7 +72,7 @@
 class StateMachine:
     """A replicated state machine composed of components.
 
-    Commands and queries reach the component that declares their type.
+    Commands and queries are passed to the component that handles their type.
     """
 
     def __init__(self, *components: Component) -> None:
@@ -85,18 +85,18 @@
         self._observers: list[Handler] = []
 
     def component(self, name: str) -> typing.Any:
-        """Returns the component called `name`."""
+        """Returns the component with the given name."""
         return self._components[name]
 
     def observe(self, observer: Handler) -> None:
-        """Calls `observer` with each command after it was applied here."""
+        """Registers an observer of commands, called after they are applied."""
         self._observers.append(observer)
 
     def apply(self, command: object) -> object:
         """Applies a committed command and returns its result.
 
         Raises:
-            errors.LaburnumsillError: The command was refused.
+            errors.LaburnumsillError: The component refused the command.
         """
         handler = self._commands.get(type(command))
         if handler is None:
@@ -107,7 +107,7 @@
         return result
 
     def query(self, query: object) -> object:
-        """Answers a query from the present state."""
+        """Answers a query from the current state."""
         if isinstance(query, Confirmation):
             return None
         handler = self._queries.get(type(query))
@@ -129,10 +129,10 @@
 
 
 class Groups(abc.ABC):
-    """Access to the replicated groups, wherever their leaders are.
+    """Access to the replicated groups, on this VM or on others.
 
-    Deadlines are monotonic points of the process's clock. Commands, queries
-    and results are data classes registered with the codec.
+    Deadlines are monotonic times. Commands, queries and results are data
+    classes registered with the codec.
     """
 
     @abc.abstractmethod
@@ -143,32 +143,32 @@
 
         Raises:
             errors.UnavailableError: The command was certainly not committed.
-            errors.ProposalLostError: It may or may not have been committed.
-            errors.LaburnumsillError: The state machine refused it.
+            errors.ProposalLostError: The command may have been committed.
+            errors.LaburnumsillError: The state machine refused the command.
         """
 
     @abc.abstractmethod
     async def query(
         self, group: str, query: object, deadline: float
     ) -> typing.Any:
-        """Answers a query from a leader that has confirmed its lead.
+        """Returns the answer of a leader whose leadership is confirmed.
 
         Raises:
             errors.UnavailableError: No confirmed leader answered in time.
-            errors.LaburnumsillError: The state machine refused it.
+            errors.LaburnumsillError: The state machine refused the query.
         """
 
     @abc.abstractmethod
     def leads(self, group: str) -> bool:
-        """Returns whether this VM leads the group as far as it knows."""
+        """Returns whether this VM believes that it leads the group."""
 
     @abc.abstractmethod
     def term(self, group: str) -> int:
-        """Returns the newest term that this VM's replica has seen, or 0."""
+        """Returns the current term of this VM's replica, 0 without one."""
 
     @abc.abstractmethod
     def local(self, group: str) -> StateMachine | None:
-        """Returns this VM's replica of the group, maybe behind, or None."""
+        """Returns this VM's replica, which may lag behind, None without one."""
 
 
 class LeaderGroups(Groups):
@@ -176,36 +176,37 @@
 
     @abc.abstractmethod
     def leader(self, group: str) -> str | None:
-        """Returns the VM that leads a group as far as is known here."""
+        """Returns the leader of a group as known to this VM, or None."""
 
 
 class Peers(abc.ABC):
-    """Calls and notices between VMs over one connection a pair."""
+    """Calls and notices between VMs, over one connection per pair."""
 
     @abc.abstractmethod
     async def call(
         self, vm: str, request: object, deadline: float
     ) -> typing.Any:
-        """Sends a registered data class and returns the peer's answer.
+        """Sends a call, a registered data class, and returns the peer's result.
 
         Raises:
-            errors.PeerUnreachableError: The request was certainly not sent.
-            errors.OutcomeUnknownError: It was sent and no answer came.
-            errors.LaburnumsillError: The peer's handler raised it.
+            errors.PeerUnreachableError: The call was certainly not sent.
+            errors.OutcomeUnknownError: The call may have been executed; no
+                reply was received.
+            errors.LaburnumsillError: The peer's handler raised this error.
         """
 
     @abc.abstractmethod
     def notify(self, vm: str, notice: object) -> None:
-        """Sends a registered data class that may be lost."""
+        """Sends a notice, a registered data class, which may be lost."""
 
     @abc.abstractmethod
     def on_call(self, request_type: type, handler: AsyncHandler) -> None:
-        """Answers calls of `request_type` with an async handler."""
+        """Registers the asynchronous handler of calls of `request_type`."""
 
     @abc.abstractmethod
     def on_notice(self, notice_type: type, handler: Handler) -> None:
-        """Passes notices of `notice_type` to a synchronous handler."""
+        """Registers the synchronous handler of notices of `notice_type`."""
 
     @abc.abstractmethod
     def reachable(self) -> frozenset[str]:
-        """Returns the VMs, this one too, heard from within a second."""
+        """Returns this VM and the VMs with contact within the last second."""
--- a/laburnumsill/core/tests/test_codec.py
+++ b/laburnumsill/core/tests/test_codec.py
@@ -30,28 +30,28 @@
 
 
 @hypothesis.given(SAMPLES)
-def test_what_is_encoded_is_decoded_again(sample):
+def test_encoding_round_trips(sample):
     assert codec.decode(codec.encode(sample)) == sample
 
 
 @hypothesis.given(strategies.binary())
-def test_any_other_bytes_are_refused_with_a_type(raw):
+def test_random_bytes_are_undecodable(raw):
     with pytest.raises(codec.UndecodableMessageError):
         codec.decode(raw)
 
 
 @hypothesis.given(SAMPLES, strategies.integers(0, 200))
-def test_a_message_cut_short_is_refused(sample, length):
+def test_a_truncated_message_is_undecodable(sample, length):
     raw = codec.encode(sample)
     with pytest.raises(codec.UndecodableMessageError):
         codec.decode(raw[: min(length, len(raw) - 1)])
 
 
-def test_a_class_that_is_not_registered_is_refused():
+def test_an_unregistered_class_is_refused():
     with pytest.raises(TypeError):
         codec.encode(object())
 
 
-def test_a_name_stands_for_one_class():
+def test_a_name_is_registered_for_one_class_only():
     with pytest.raises(ValueError, match=r"test\.sample"):
         codec.register("test.sample")(object)
--- a/laburnumsill/core/tests/test_errors.py
+++ b/laburnumsill/core/tests/test_errors.py
@@ -15,27 +15,27 @@
 @pytest.mark.parametrize(
     "cls", sorted(subclasses(errors.LaburnumsillError), key=lambda c: c.slug)
 )
-def test_each_error_travels_with_its_own_type(cls):
+def test_each_error_class_round_trips(cls):
     error = cls("it failed")
     record = codec.decode(codec.encode(error.to_record()))
-    back = errors.LaburnumsillError.from_record(record)
-    assert type(back) is cls
-    assert back.detail == "it failed"
-    assert back.context == error.context
-    assert back.retry_after_s == error.retry_after_s
+    decoded = errors.LaburnumsillError.from_record(record)
+    assert type(decoded) is cls
+    assert decoded.detail == "it failed"
+    assert decoded.context == error.context
+    assert decoded.retry_after_s == error.retry_after_s
 
 
-def test_the_context_travels_too():
+def test_the_context_of_an_error_round_trips():
     error = errors.VersionConflictError("it failed", version=3, winner="x")
     record = codec.decode(codec.encode(error.to_record()))
-    back = errors.LaburnumsillError.from_record(record)
-    assert back.context == {"version": 3, "winner": "x"}
+    decoded = errors.LaburnumsillError.from_record(record)
+    assert decoded.context == {"version": 3, "winner": "x"}
 
 
-def test_an_unknown_slug_becomes_the_root_type():
+def test_an_unknown_slug_becomes_the_base_class():
     record = errors.ErrorRecord("from-a-newer-version", "it failed", None, {})
-    back = errors.LaburnumsillError.from_record(record)
-    assert type(back) is errors.LaburnumsillError
+    decoded = errors.LaburnumsillError.from_record(record)
+    assert type(decoded) is errors.LaburnumsillError
 
 
 @pytest.mark.parametrize(
--- a/laburnumsill/core/tests/test_suspension.py
+++ b/laburnumsill/core/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""Clocks of a machine that is suspended for some seconds."""
+"""Tests of the clocks on a machine that is suspended for some seconds."""
 
 import time
 
@@ -13,29 +13,31 @@
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Returns a function that suspends the machine, and wakes it again."""
-    slept = 0.0
-    real = time.clock_gettime
+    """Returns a function that simulates a suspension of some seconds."""
+    suspended_s = 0.0
+    system_gettime = time.clock_gettime
 
     def read(clock):
-        return real(clock) + (slept if clock == time.CLOCK_BOOTTIME else 0.0)
+        return system_gettime(clock) + (
+            suspended_s if clock == time.CLOCK_BOOTTIME else 0.0
+        )
 
     def sleep(seconds):
-        nonlocal slept
-        slept += seconds
+        nonlocal suspended_s
+        suspended_s += seconds
 
     monkeypatch.setattr(time, "clock_gettime", read)
     return sleep
 
 
-def test_time_passes_while_a_machine_is_suspended(suspend):
+def test_monotonic_time_includes_suspensions(suspend):
     clock = clocks.SystemClock()
     before = clock.monotonic()
     suspend(SUSPENDED_S)
     assert clock.monotonic() - before >= SUSPENDED_S
 
 
-def test_a_deadline_that_passed_during_a_suspension_is_noticed(suspend):
+def test_a_deadline_expires_during_a_suspension(suspend):
     async def main():
         with trio.move_on_after(SUSPENDED_S / 2) as scope:
             await trio.sleep(0.01)
--- a/laburnumsill/core/tests/test_topology.py
+++ b/laburnumsill/core/tests/test_topology.py
@@ -7,7 +7,7 @@
 
 @strategies.composite
 def sites(draw):
-    """Two to nine domains of two to four VMs, one with a disk in each."""
+    """Generates 2 to 9 domains of 2 to 4 VMs each, one of them with a disk."""
     vms = []
     for domain in range(draw(strategies.integers(2, 9))):
         for rank in range(draw(strategies.integers(2, 4))):
@@ -17,7 +17,7 @@
 
 
 @hypothesis.given(sites())
-def test_a_domain_cut_off_keeps_a_majority_of_its_own_group(vms):
+def test_a_partitioned_domain_has_a_majority_of_its_own_group(vms):
     domain_of = {vm.vm_id: vm.domain for vm in vms}
     for domain in topology.domains(vms):
         voters = topology.domain_voters(vms, domain)
@@ -27,19 +27,19 @@
 
 
 @hypothesis.given(sites())
-def test_the_loss_of_one_domain_leaves_the_root_group_a_majority(vms):
+def test_the_root_group_keeps_a_majority_without_any_one_domain(vms):
     domain_of = {vm.vm_id: vm.domain for vm in vms}
     voters = topology.root_voters(vms)
     assert len(voters) % 2 == 1
     if len(topology.domains(vms)) < 3:
-        return  # with two domains one of them holds the majority
+        return  # with two domains, one of them has the majority
     for domain in topology.domains(vms):
-        left = [vm for vm in voters if domain_of[vm] != domain]
-        assert len(left) > len(voters) // 2
+        remaining = [vm for vm in voters if domain_of[vm] != domain]
+        assert len(remaining) > len(voters) // 2
 
 
 @hypothesis.given(sites())
-def test_every_group_has_a_disk(vms):
+def test_every_group_has_a_voter_with_a_disk(vms):
     with_disk = {vm.vm_id for vm in vms if vm.has_disk}
     for voters in topology.first_groups(vms).values():
         assert with_disk & set(voters)
@@ -49,7 +49,7 @@
     strategies.text(),
     strategies.sets(strategies.text(min_size=1), min_size=2),
 )
-def test_losing_a_node_moves_only_its_own_keys(key, nodes):
+def test_removing_a_node_moves_only_its_keys(key, nodes):
     chosen = hashing.rendezvous(key, nodes)
     for gone in nodes - {chosen}:
         assert hashing.rendezvous(key, nodes - {gone}) == chosen
--- a/laburnumsill/core/topology.py
+++ b/laburnumsill/core/topology.py
@@ -1,4 +1,4 @@
-"""The VMs of the system and the first make-up of its groups."""
+"""The VMs of the system and the initial voters of its groups."""
 
 import dataclasses
 from collections import abc
@@ -7,23 +7,24 @@
 from laburnumsill.core import ids
 
 SMALL_ROOT_DOMAINS = 3
-"""With up to so many domains the root group has one voter in each."""
+"""With up to this number of domains the root group has 3 voters, which is one
+in each of 3 domains."""
 
 LARGE_ROOT_VOTERS = 5
-"""With more domains than that the root group has this many voters."""
+"""Number of voters of the root group with more domains."""
 
 
 @codec.register("topology.vm")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Vm:
-    """One entry VM.
+    """An entry VM.
 
     Attributes:
-        vm_id: Its name, unique in the system.
+        vm_id: Its id, unique in the system.
         domain: Its failure domain.
         client_address: ``host:port`` of its HTTP interface.
         peer_address: ``host:port`` of its peer interface.
-        has_disk: Whether it keeps state in a data folder.
+        has_disk: Whether it stores state in a data folder.
     """
 
     vm_id: str
@@ -39,16 +40,16 @@
 
 
 def domain_voters(vms: abc.Sequence[Vm], domain: str) -> list[str]:
-    """Returns the first voters of a domain's group: two inside, one outside.
+    """Returns the initial voters of a domain's group: two inside, one outside.
 
-    A domain that is cut off holds two of three voters and goes on; the loss
-    of any one VM leaves a majority. Voters with a disk come first. The
-    outside voter is taken from the next domain in name order, so that this
-    duty is spread evenly.
+    A partitioned domain has two of three voters, a quorum, and the group
+    tolerates the loss of any one VM. VMs with a disk are preferred. The
+    outside voter is from the next domain in name order, which distributes
+    these voters evenly.
 
     Args:
         vms: All VMs of the system.
-        domain: The domain whose group is made.
+        domain: The domain of the group.
     """
     inside = [vm for vm in vms if vm.domain == domain]
     names = domains(vms)
@@ -62,7 +63,7 @@
 
 
 def root_voters(vms: abc.Sequence[Vm]) -> list[str]:
-    """Returns the first voters of the root group: 3 or 5, spread evenly."""
+    """Returns the initial voters of the root group: 3 or 5, spread evenly."""
     names = domains(vms)
     by_domain = {
         name: _disks_first(vm for vm in vms if vm.domain == name)
@@ -80,7 +81,7 @@
 
 
 def first_groups(vms: abc.Sequence[Vm]) -> dict[str, list[str]]:
-    """Returns the first voters of every group, by group name.
+    """Returns the initial voters of every group, by group name.
 
     Examples:
         >>> vms = [Vm(f"vm{n}", f"d{n % 3}", "", "", n < 3) for n in range(8)]
--- a/laburnumsill/core/trio_clock.py
+++ b/laburnumsill/core/trio_clock.py
@@ -1,4 +1,4 @@
-"""The clock of the trio loop, which tests and emulations make virtual."""
+"""Clocks of trio's event loop, whose time may be virtual."""
 
 import time
 
@@ -9,10 +9,10 @@
 
 
 class TrioClock(clocks.Clock):
-    """Follows the loop's time.
+    """A clock that follows the time of trio's event loop.
 
     Args:
-        epoch: Wall time at the loop's zero, in Unix seconds.
+        epoch: Wall time at the loop's time zero, in Unix seconds.
     """
 
     def __init__(self, epoch: float = 0.0) -> None:
@@ -28,19 +28,19 @@
 
 
 class BootTimeClock(trio.abc.Clock):
-    """A clock for `trio.run` by which deadlines pass during a suspension.
+    """A clock for `trio.run` that also advances while the machine is suspended.
 
-    The kernel's timers stop meanwhile, so what is overdue is noticed when the
-    loop wakes next.
+    The kernel's timers stop during a suspension, so an overdue deadline is
+    noticed at the next wake-up of the loop.
     """
 
     def start_clock(self) -> None:
-        """Needs no preparation."""
+        """Does nothing; the clock needs no preparation."""
 
     def current_time(self) -> float:
         """Returns the time since boot."""
         return time.clock_gettime(clocks.BOOT_TIME)
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        """Returns how long to sleep until a deadline, in seconds."""
+        """Returns the seconds to sleep until a deadline."""
         return deadline - self.current_time()
