--- a/laburnumsill/core/errors.py
+++ b/laburnumsill/core/errors.py
@@ -85,7 +85,7 @@
 
 
 class InvalidInputError(LaburnumsillError):
-    """The request is invalid and must not be retried unchanged."""
+    """The request is invalid and can never be accepted unchanged."""
 
     slug = "invalid-input"
     status = 400
--- a/laburnumsill/explain/causes.py
+++ b/laburnumsill/explain/causes.py
@@ -89,8 +89,8 @@
     """Returns by how much a job missed its objective, None if unknown.
 
     The work of the job is taken to be the time of its completed runs. On a
-    slow worker this overestimates the work and thus the objective, so a job
-    that was late may not appear so here.
+    slow worker this overestimates the work and thus the objective, so a late
+    job may be reported as on time.
     """
     submitted_at = job.submitted_at
     if submitted_at is None or job.ended_at is None or not job.stretch:
--- a/laburnumsill/wire/tests/test_network.py
+++ b/laburnumsill/wire/tests/test_network.py
@@ -125,7 +125,7 @@
     addresses = {"a": "127.0.0.1:1", "b": "127.0.0.1:1"}
     a, b = cluster.make("a", addresses), cluster.make("b", addresses)
     async with trio.open_nursery() as nursery:
-        with trio.CancelScope() as life:
+        with trio.CancelScope() as first_scope:
             async with trio.open_nursery() as first:
                 await first.start(b.run)
                 addresses["b"] = b.listening_address
@@ -134,7 +134,7 @@
 
                 async def cut():
                     await trio.sleep(0.1)
-                    life.cancel()
+                    first_scope.cancel()
 
                 first.start_soon(cut)
                 with pytest.raises(errors.OutcomeUnknownError):
@@ -142,8 +142,8 @@
                         "b", cluster.Echo(1, 3), cluster.deadline_after()
                     )
         await cluster.until(lambda: "b" not in a.reachable(), 5)
-        again = cluster.make("b", addresses, addresses["b"])
-        await nursery.start(again.run)
+        restarted = cluster.make("b", addresses, addresses["b"])
+        await nursery.start(restarted.run)
         await cluster.until(lambda: "b" in a.reachable(), 5)
         assert await a.call("b", cluster.Echo(2), cluster.deadline_after())
         nursery.cancel_scope.cancel()
@@ -273,12 +273,12 @@
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask)
-            left = await cluster.until(
+            took_s = await cluster.until(
                 lambda: a.reachable() == {"a"} and b.reachable() == {"b"}, 5
             )
             with pytest.raises(errors.PeerUnreachableError):
                 await a.call("b", cluster.Echo(2), cluster.deadline_after())
-        assert left < 1.5
+        assert took_s < 1.5
         assert outcomes == ["unknown"]
         proxy.heal("b")
         await cluster.until(lambda: "b" in a.reachable(), 5)
