--- a/laburnumsill/jobs/access.py
+++ b/laburnumsill/jobs/access.py
@@ -1,4 +1,4 @@
-"""A scheduler's access to its domain's group."""
+"""Access of a scheduler to the Raft group of its domain."""
 
 import typing
 
@@ -11,20 +11,20 @@
 from laburnumsill.state import jobs
 
 PROPOSE_TIMEOUT_S = 2.0
-"""Time for one attempt to commit a command, in seconds."""
+"""Timeout of one attempt to commit a command, in seconds."""
 
 RETRY_PAUSE_S = 0.1
 
 
 class NotLeadingError(errors.UnavailableError):
-    """This VM does not lead the domain's group any more."""
+    """This VM is not the leader of the domain's group any more."""
 
     slug = "not-leading"
     title = "This VM does not lead the group"
 
 
 class DomainAccess:
-    """The replica, the proposals and the lead of one domain's group."""
+    """Local replica, proposals and leadership of one domain's group."""
 
     def __init__(
         self,
@@ -44,25 +44,25 @@
 
     @property
     def term(self) -> int:
-        """The newest term seen."""
+        """The highest term that the local replica has seen."""
         return self._groups.term(self._group)
 
     @property
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether this VM leads the group and has a replica of it."""
         return self.machine is not None and self._groups.leads(self._group)
 
     @property
     def machine(self) -> replication.StateMachine | None:
-        """This VM's replica, or None."""
+        """The state machine of the local replica, or None."""
         return self._groups.local(self._group)
 
     @property
     def ledger(self) -> jobs.JobLedger:
-        """The job ledger of this VM's replica.
+        """The job ledger of the local replica.
 
         Raises:
-            NotLeadingError: There is no replica here.
+            NotLeadingError: This VM has no replica.
         """
         machine = self.machine
         if machine is None:
@@ -70,15 +70,15 @@
         return typing.cast(jobs.JobLedger, machine.component("jobs"))
 
     async def propose(self, command: object) -> typing.Any:
-        """Commits an idempotent command, again while its fate is unknown.
+        """Commits an idempotent command, retrying if the outcome is unknown.
 
         Raises:
-            NotLeadingError: This VM leads no more; the command may have been
-                committed.
+            NotLeadingError: This VM is not the leader any more; the command
+                may have been committed.
             errors.LaburnumsillError: The ledger refused it.
         """
         while True:
-            if not self.leads:
+            if not self.is_leader:
                 raise NotLeadingError(f"not leading {self._group!r}")
             deadline = self._clock.monotonic() + PROPOSE_TIMEOUT_S
             try:
--- a/laburnumsill/jobs/admission.py
+++ b/laburnumsill/jobs/admission.py
@@ -1,4 +1,4 @@
-"""Refusing what can never run, and choosing a home for what can."""
+"""Admission of jobs and choice of their home domain."""
 
 import dataclasses
 from collections import abc
@@ -14,12 +14,12 @@
 from laburnumsill.state import workers
 
 CORES_PER_ACCELERATOR = 16
-"""Cores that weigh as much as one accelerator in the choice of a home."""
+"""Cores that count as one accelerator in the choice of a home domain."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Candidate:
-    """A domain that could hold a job, and its present use if known."""
+class CandidateDomain:
+    """A domain that could hold a job, with its usage if known."""
 
     domain: str
     use: jobs_messages.DomainUse | None
@@ -28,11 +28,11 @@
 def account_of(
     configuration: models.Configuration, spec: jobs_messages.JobSpec
 ) -> models.Account:
-    """Returns the account of a job, within whose limits the job must be.
+    """Returns the account of a job after checking that it may submit the job.
 
     Raises:
         errors.UnknownNameError: There is no such account.
-        errors.JobImpossibleError: The account may not have such a job.
+        errors.JobImpossibleError: The account may not submit such a job.
     """
     account = configuration.accounts.get(spec.account)
     if account is None:
@@ -55,7 +55,7 @@
     view: members.MemberView,
     spec: jobs_messages.JobSpec,
 ) -> list[str]:
-    """Returns the domains in force that could ever hold a job.
+    """Returns the configured domains that could hold a job when empty.
 
     Raises:
         errors.UnavailableError: No worker is known in any domain.
@@ -67,7 +67,7 @@
     for domain in configuration.domains:
         present = view.workers(domain)
         known = known or bool(present)
-        reason = _misfit(configuration, domain, present, spec)
+        reason = _rejection_reason(configuration, domain, present, spec)
         if reason:
             reasons.append(f"{domain}: {reason}")
         else:
@@ -79,13 +79,13 @@
     return found
 
 
-def _misfit(
+def _rejection_reason(
     configuration: models.Configuration,
     domain: str,
     present: abc.Sequence[members.Worker],
     spec: jobs_messages.JobSpec,
 ) -> str:
-    """Returns why a domain could never hold a job, or ""."""
+    """Returns the reason why a domain can never hold a job, or ""."""
     empty = [workers.WorkerRecord(worker) for worker in present]
     if not empty:
         return "no workers"
@@ -111,27 +111,27 @@
     shape = configuration.accounts[spec.account].guarantee.get(domain)
     if shape is None:
         return f"{spec.account!r} has no guarantee"
-    owed = policies.numbers_of(shape)
-    if not claims.could_hold(owed, spec):
-        return f"the guarantee {owed} has no cell for such a task"
-    if accelerators_in(owed, empty) < spec.total_accelerators:
+    counts = policies.cell_counts(shape)
+    if not claims.can_hold_task(counts, spec):
+        return f"the guarantee {counts} has no cell for such a task"
+    if guaranteed_accelerators(counts, empty) < spec.total_accelerators:
         return (
             f"the guarantee is less than {spec.total_accelerators} accelerators"
         )
     return ""
 
 
-def accelerators_in(
-    owed: cells.Numbers, present: abc.Iterable[workers.WorkerRecord]
+def guaranteed_accelerators(
+    counts: cells.Numbers, present: abc.Iterable[workers.WorkerRecord]
 ) -> int:
-    """Returns how many accelerators a guarantee comes to in a domain."""
+    """Returns an upper bound of the accelerators of a guarantee."""
     racks: dict[str, int] = {}
     largest = 0
     for worker in present:
         own = worker.announced
         largest = max(largest, own.accelerators)
         racks[own.rack] = racks.get(own.rack, 0) + own.accelerators
-    singles, pairs, whole, whole_racks = owed
+    singles, pairs, whole, whole_racks = counts
     return (
         singles
         + 2 * pairs
@@ -141,20 +141,21 @@
 
 
 def choose_home(
-    candidates: abc.Sequence[Candidate], spec: jobs_messages.JobSpec
+    candidates: abc.Sequence[CandidateDomain], spec: jobs_messages.JobSpec
 ) -> str:
-    """Returns the domain with the most left for a job.
+    """Returns the domain with the most headroom for a job.
 
-    A guaranteed job goes where its account has most of its guarantee
-    unused, any other where most is free beyond what already waits. Domains
-    whose use is unknown come last.
+    For a guaranteed job this is the domain where its account has the fewest
+    guaranteed accelerators in use or queued; for a borrowing job, the one
+    with the most free capacity beyond the demand of queued jobs. Domains
+    with unknown usage come last.
     """
-    best = max(candidates, key=lambda one: _left(one, spec))
+    best = max(candidates, key=lambda candidate: _headroom(candidate, spec))
     return best.domain
 
 
-def _left(
-    candidate: Candidate, spec: jobs_messages.JobSpec
+def _headroom(
+    candidate: CandidateDomain, spec: jobs_messages.JobSpec
 ) -> tuple[bool, float, str]:
     use = candidate.use
     if use is None:
--- a/laburnumsill/jobs/claims.py
+++ b/laburnumsill/jobs/claims.py
@@ -1,9 +1,10 @@
-"""Finding the cells for a guaranteed job, and whom to stop for it.
+"""Claims: the cells for a guaranteed job, and the borrowers to preempt.
 
-An account's own bound cells are used first, then as small new cells as will
-do, all in one rack for a gang that must be adjacent. Of several racks the
-one is taken in which stopping borrowers loses the least work. A binding
-that would leave another guarantee without whole cells is never planned.
+The cells already bound to the account are used first, then the smallest new
+cells that suffice, all in one rack for a gang that must be adjacent. Among
+several racks, the claim is made in the one where preemption loses the least
+work. A binding that would make another guarantee impossible to restore is
+never planned.
 """
 
 import dataclasses
@@ -21,35 +22,45 @@
 Cell = jobs_messages.Cell
 Level = cells.Level
 
-CANDIDATES = 4
-"""Racks with a sufficient set of cells that are compared."""
+MAX_COMPARED_RACKS = 4
+"""Maximum number of racks with a feasible claim that are compared."""
 
-EXAMINED = 48
-"""Racks that are looked into at most for one plan."""
+MAX_EXAMINED_RACKS = 48
+"""Maximum number of racks that are searched for one claim."""
 
-ANY_RACKS = 32
-"""Racks that a gang which may be apart is spread over at most."""
+MAX_SPREAD_RACKS = 32
+"""Maximum number of racks over which a non-adjacent gang is spread."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Claim:
-    """The room for a guaranteed job and the cells to bind for it."""
+    """Slots for a guaranteed job, and the cells to bind for them.
 
-    room: eviction.Room
+    Attributes:
+        plan: The slots and the borrowers to preempt.
+        bind: New cells to bind to the job's account.
+    """
+
+    plan: eviction.PreemptionPlan
     bind: tuple[Cell, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Group:
-    """Possible slots that lie in one cell; no new one where `cell` is None."""
+class CellSlots:
+    """Candidate slots of one worker in one cell, or in its bound cells.
+
+    Attributes:
+        cell: The cell to bind; None for cells already bound to the account.
+        candidates: The slots, the cheapest first.
+    """
 
     cell: Cell | None
-    chunks: tuple[eviction.Chunk, ...]
+    candidates: tuple[eviction.CandidateSlot, ...]
 
     def cost(self, count: int) -> float:
-        """Returns the mean cost of the first `count` chunks."""
-        first = self.chunks[:count]
-        return sum(chunk.cost for chunk in first) / len(first)
+        """Returns the mean cost of the first `count` candidate slots."""
+        first = self.candidates[:count]
+        return sum(candidate.cost for candidate in first) / len(first)
 
 
 Strategy = frozenset[Level]
@@ -61,37 +72,37 @@
     frozenset({Level.ACCELERATOR, Level.PAIR, Level.WORKER}),
     frozenset({Level.RACK}),
 )
-"""Which levels of new cells are used, from none to a whole rack."""
+"""Sets of levels from which new cells are bound, in the order of trial."""
 
 
 def find_claim(
     book: jobs_book.JobBook, job: placements.Job, now: float
 ) -> Claim | None:
-    """Returns cells and slots for a guaranteed job, or None.
+    """Returns a claim for a guaranteed job, or None.
 
-    None says that the account's guarantee is in use by its other jobs, or
-    that capacity has been lost.
+    None means that other jobs of the account use its guarantee, or that
+    capacity has been lost.
     """
-    planner = _Planner(book, job, now)
+    planner = _ClaimPlanner(book, job, now)
     best: Claim | None = None
     found = 0
-    for rack in _racks(book, job, new=planner.may_bind):
-        claim = planner.among(list(rack.workers.values()))
+    for rack in _racks_to_search(book, job, new=planner.may_bind):
+        claim = planner.claim_on(list(rack.workers.values()))
         if claim is None:
             continue
         found += 1
-        if best is None or claim.room.cost < best.room.cost:
+        if best is None or claim.plan.cost < best.plan.cost:
             best = claim
-        if claim.room.ready or found >= CANDIDATES:
+        if claim.plan.ready or found >= MAX_COMPARED_RACKS:
             break
     if best is None and job.spec.adjacency == "any":
-        best = planner.among(_spread(book, job))
+        best = planner.claim_on(_workers_to_spread_over(book, job))
     return best
 
 
-def could_hold(owed: cells.Numbers, spec: jobs_messages.JobSpec) -> bool:
-    """Returns whether a guarantee has any room for such a task at all."""
-    singles, pairs, whole, racks = owed
+def can_hold_task(counts: cells.Numbers, spec: jobs_messages.JobSpec) -> bool:
+    """Returns whether any cell of a guarantee is large enough for a task."""
+    singles, pairs, whole, racks = counts
     if racks or whole:
         return True
     if spec.accelerators <= 1:
@@ -99,15 +110,18 @@
     return spec.accelerators <= 2 and bool(pairs)
 
 
-def _racks(
+def _racks_to_search(
     book: jobs_book.JobBook, job: placements.Job, new: bool
 ) -> abc.Iterator[jobs_pool.Rack]:
-    """Yields the racks to look into: own cells, then free, then others.
+    """Yields the racks to search.
+
+    Racks with cells bound to the account come first, then those with enough
+    free slots, then all others that are large enough.
 
     Args:
         book: The domain's state.
         job: The job to place.
-        new: Whether to look further than the account's own cells.
+        new: Whether to include racks without cells bound to the account.
     """
     spec = job.spec
     names: dict[str, None] = {}
@@ -123,7 +137,7 @@
         book.pool.racks_by_size(spec.total_accelerators),
     )
     for rack in others:
-        if len(names) >= EXAMINED:
+        if len(names) >= MAX_EXAMINED_RACKS:
             return
         if rack.name in names:
             continue
@@ -133,19 +147,19 @@
             yield rack
 
 
-def _spread(
+def _workers_to_spread_over(
     book: jobs_book.JobBook, job: placements.Job
 ) -> list[workers.WorkerRecord]:
     found: list[workers.WorkerRecord] = []
-    for number, rack in enumerate(_racks(book, job, new=True)):
-        if number >= ANY_RACKS:
+    for number, rack in enumerate(_racks_to_search(book, job, new=True)):
+        if number >= MAX_SPREAD_RACKS:
             break
         found += rack.workers.values()
     return found
 
 
-class _Planner:
-    """Plans one job's claim."""
+class _ClaimPlanner:
+    """Searches for the claim of one job."""
 
     def __init__(
         self, book: jobs_book.JobBook, job: placements.Job, now: float
@@ -154,21 +168,21 @@
         self._job = job
         self._now = now
         self._budget = book.cells.unbound(job.spec.account)
-        self._costs = eviction.Costs(book, now)
+        self._costs = eviction.PreemptionCosts(book, now)
 
     @property
     def may_bind(self) -> bool:
-        """Whether the account is owed a cell that could hold a task."""
-        return could_hold(self._budget, self._job.spec)
+        """Whether an unbound cell of the account could hold a task."""
+        return can_hold_task(self._budget, self._job.spec)
 
-    def among(
-        self, candidates: abc.Sequence[workers.WorkerRecord]
+    def claim_on(
+        self, records: abc.Sequence[workers.WorkerRecord]
     ) -> Claim | None:
-        """Returns the first strategy's claim that works on these workers."""
-        fitting = [w for w in candidates if self._fits(w)]
+        """Returns the claim of the first feasible strategy, or None."""
+        fitting = [w for w in records if self._fits(w)]
         if not fitting:
             return None
-        own = self._own(fitting, self._costs)
+        own = self._own_cell_slots(fitting, self._costs)
         tried: set[Strategy] = set()
         for levels in STRATEGIES:
             useful = levels & self._useful_levels(fitting)
@@ -181,11 +195,11 @@
         return None
 
     def _useful_levels(
-        self, candidates: abc.Iterable[workers.WorkerRecord]
+        self, records: abc.Iterable[workers.WorkerRecord]
     ) -> Strategy:
-        """Returns the levels of cells that are owed and hold a task."""
+        """Returns the levels of unbound cells that can hold a task."""
         spec = self._job.spec
-        size = min(w.footprint(spec) for w in candidates)
+        size = min(w.footprint(spec) for w in records)
         holding = {Level.WORKER, Level.RACK}
         if size <= 2:
             holding.add(Level.PAIR)
@@ -199,123 +213,139 @@
 
     def _try(
         self,
-        candidates: abc.Sequence[workers.WorkerRecord],
-        own: abc.Sequence[Group],
+        records: abc.Sequence[workers.WorkerRecord],
+        own: abc.Sequence[CellSlots],
         levels: Strategy,
     ) -> Claim | None:
-        groups = [*own, *self._new_groups(candidates, levels, self._costs)]
+        groups = [*own, *self._new_cell_slots(records, levels, self._costs)]
         claim = self._select(groups, self._costs)
-        if claim is None or len(claim.room.victims) < 2:
+        if claim is None or len(claim.plan.victims) < 2:
             return claim
-        # A victim stops whole: with its other slots counted as free, fewer
-        # victims may do.
-        costs = eviction.Costs(self._book, self._now)
-        costs.waive(claim.room.victims)
-        own = self._own(candidates, costs)
-        groups = [*own, *self._new_groups(candidates, levels, costs)]
+        # Preempting a gang frees all its slots. With the slots of the victims
+        # counted as free, fewer victims may suffice.
+        costs = eviction.PreemptionCosts(self._book, self._now)
+        costs.waive(claim.plan.victims)
+        own = self._own_cell_slots(records, costs)
+        groups = [*own, *self._new_cell_slots(records, levels, costs)]
         again = self._select(groups, costs)
-        if again and len(again.room.victims) < len(claim.room.victims):
-            cost = sum(self._costs.of(v) for v in again.room.victims)
-            room = dataclasses.replace(again.room, cost=cost)
-            return dataclasses.replace(again, room=room)
+        if again and len(again.plan.victims) < len(claim.plan.victims):
+            cost = sum(self._costs.of(v) for v in again.plan.victims)
+            plan = dataclasses.replace(again.plan, cost=cost)
+            return dataclasses.replace(again, plan=plan)
         return claim
 
     def _select(
-        self, groups: abc.Iterable[Group], costs: eviction.Costs
+        self, groups: abc.Iterable[CellSlots], costs: eviction.PreemptionCosts
     ) -> Claim | None:
-        """Returns the claim that takes slots from the first groups."""
+        """Returns the claim that fills slots from the groups in order."""
         wanted = self._job.spec.tasks
         left = list(self._budget)
         taken: dict[str, int] = {}
-        chunks: list[eviction.Chunk] = []
+        candidates: list[eviction.CandidateSlot] = []
         bind: list[Cell] = []
-        for group in groups:
-            used = self._use(group, taken, wanted - len(chunks))
+        for cell_slots in groups:
+            used = self._pick(cell_slots, taken, wanted - len(candidates))
             if not used:
                 continue
-            if group.cell is not None and group.cell not in bind:
-                if not left[group.cell.level]:
+            if cell_slots.cell is not None and cell_slots.cell not in bind:
+                if not left[cell_slots.cell.level]:
                     continue
-                left[group.cell.level] -= 1
-                bind.append(group.cell)
-            for chunk in used:
-                mask = taken.get(chunk.worker_id, 0)
-                taken[chunk.worker_id] = mask | chunk.mask
-            chunks += used
-        if len(chunks) < wanted:
+                left[cell_slots.cell.level] -= 1
+                bind.append(cell_slots.cell)
+            for candidate in used:
+                mask = taken.get(candidate.worker_id, 0)
+                taken[candidate.worker_id] = mask | candidate.mask
+            candidates += used
+        if len(candidates) < wanted:
             return None
         if bind and not self._book.cells.allows(self._job.spec.account, bind):
             return None
-        room = eviction.settle(self._book, self._job, chunks, costs)
-        return Claim(room, tuple(bind)) if room is not None else None
+        plan = eviction.plan_preemption(
+            self._book, self._job, candidates, costs
+        )
+        return Claim(plan, tuple(bind)) if plan is not None else None
 
     @staticmethod
-    def _use(
-        group: Group, taken: dict[str, int], wanted: int
-    ) -> list[eviction.Chunk]:
+    def _pick(
+        cell_slots: CellSlots, taken: dict[str, int], wanted: int
+    ) -> list[eviction.CandidateSlot]:
         free = (
-            chunk
-            for chunk in group.chunks
-            if not chunk.mask & taken.get(chunk.worker_id, 0)
+            candidate
+            for candidate in cell_slots.candidates
+            if not candidate.mask & taken.get(candidate.worker_id, 0)
         )
-        return [chunk for chunk, _ in zip(free, range(wanted), strict=False)]
+        return [
+            candidate for candidate, _ in zip(free, range(wanted), strict=False)
+        ]
 
-    def _new_groups(
+    def _new_cell_slots(
         self,
-        candidates: abc.Sequence[workers.WorkerRecord],
+        records: abc.Sequence[workers.WorkerRecord],
         levels: Strategy,
-        costs: eviction.Costs,
-    ) -> list[Group]:
-        """Returns the possible slots in new cells, the best cells first."""
-        new: list[Group] = []
-        for worker in candidates:
+        costs: eviction.PreemptionCosts,
+    ) -> list[CellSlots]:
+        """Returns the candidate slots in new cells, best cells first."""
+        new: list[CellSlots] = []
+        for worker in records:
             for cell, mask in self._new_cells(worker, levels):
-                new += self._group(worker, mask, cell, costs)
+                new += self._slots_in_cell(worker, mask, cell, costs)
         wanted = self._job.spec.tasks
-        new.sort(key=lambda group: self._rank(group, wanted))
+        new.sort(key=lambda cell_slots: self._rank(cell_slots, wanted))
         return new
 
-    def _rank(self, group: Group, wanted: int) -> tuple[float, bool, int]:
-        """Orders new cells: cheap first, then those that break no worker."""
-        worker_id = group.chunks[0].worker_id
+    def _rank(
+        self, cell_slots: CellSlots, wanted: int
+    ) -> tuple[float, bool, int]:
+        """Returns the sort key of a new cell.
+
+        Cheaper cells come first; of those with equal cost, the ones that do
+        not split a worker without bound cells.
+        """
+        worker_id = cell_slots.candidates[0].worker_id
         untouched = not self._book.cells.bound_mask(worker_id)
-        small = group.cell is not None and group.cell.level < Level.WORKER
-        return group.cost(wanted), small and untouched, -len(group.chunks)
+        small = (
+            cell_slots.cell is not None and cell_slots.cell.level < Level.WORKER
+        )
+        return (
+            cell_slots.cost(wanted),
+            small and untouched,
+            -len(cell_slots.candidates),
+        )
 
-    def _own(
+    def _own_cell_slots(
         self,
-        candidates: abc.Iterable[workers.WorkerRecord],
-        costs: eviction.Costs,
-    ) -> list[Group]:
-        """Returns the possible slots in own cells, the cheapest first."""
+        records: abc.Iterable[workers.WorkerRecord],
+        costs: eviction.PreemptionCosts,
+    ) -> list[CellSlots]:
+        """Returns the candidate slots in bound cells, cheapest first."""
         book = self._book
         account = self._job.spec.account
-        own: list[Group] = []
-        for worker in candidates:
+        own: list[CellSlots] = []
+        for worker in records:
             mask = book.cells.owned_mask(account, worker.announced.worker_id)
             if mask:
                 mask &= ~book.guaranteed_mask(worker)
-                own += self._group(worker, mask, None, costs)
-        own.sort(key=lambda group: group.cost(self._job.spec.tasks))
+                own += self._slots_in_cell(worker, mask, None, costs)
+        own.sort(key=lambda cell_slots: cell_slots.cost(self._job.spec.tasks))
         return own
 
-    def _group(
+    def _slots_in_cell(
         self,
         worker: workers.WorkerRecord,
         mask: int,
         cell: Cell | None,
-        costs: eviction.Costs,
-    ) -> list[Group]:
+        costs: eviction.PreemptionCosts,
+    ) -> list[CellSlots]:
         size = worker.footprint(self._job.spec)
         if mask.bit_count() < size:
             return []
-        chunks = eviction.chunks_on(worker, mask, size, costs)
-        return [Group(cell, tuple(chunks))]
+        candidates = eviction.split_into_slots(worker, mask, size, costs)
+        return [CellSlots(cell, tuple(candidates))]
 
     def _new_cells(
         self, worker: workers.WorkerRecord, levels: Strategy
     ) -> abc.Iterator[tuple[Cell, int]]:
-        """Yields unbound cells that the worker is, has or lies in."""
+        """Yields the unbound cells on a worker or around it, with masks."""
         book = self._book
         own = worker.announced
         full = worker.full_mask
--- a/laburnumsill/jobs/decisions.py
+++ b/laburnumsill/jobs/decisions.py
@@ -1,4 +1,4 @@
-"""The log lines and metrics of what the planner decided."""
+"""Log lines and metrics of the planner's decisions."""
 
 from laburnumsill.core import logs
 from laburnumsill.core import metrics as metrics_module
@@ -6,27 +6,27 @@
 from laburnumsill.state import jobs_book
 from laburnumsill.state import jobs_messages
 
-MAX_NAMES = 8
-"""Names of workers or jobs in one line at most."""
+MAX_LOGGED_NAMES = 8
+"""Maximum number of worker or job names in one log line."""
 
 
-def note(
+def record_step(
     metrics: metrics_module.Metrics,
     book: jobs_book.JobBook,
     step: steps.Step,
     now: float,
 ) -> None:
-    """Logs and counts a step that was committed."""
+    """Logs and counts a committed step."""
     command = step.command
     if isinstance(command, jobs_messages.PlaceJob):
-        _placed(metrics, book, command, step.why, now)
+        _record_placement(metrics, book, command, step.why, now)
     elif isinstance(command, jobs_messages.HoldSlots):
-        _held(metrics, book, command, step.why)
+        _record_reservation(metrics, book, command, step.why)
     elif isinstance(command, jobs_messages.DropHold):
         logs.decision("hold-dropped", job=command.job_id, why=step.why)
 
 
-def _placed(
+def _record_placement(
     metrics: metrics_module.Metrics,
     book: jobs_book.JobBook,
     command: jobs_messages.PlaceJob,
@@ -58,7 +58,7 @@
     metrics.observe("job_wait_seconds", max(0.0, waited), kind=kind)
 
 
-def _held(
+def _record_reservation(
     metrics: metrics_module.Metrics,
     book: jobs_book.JobBook,
     command: jobs_messages.HoldSlots,
@@ -71,7 +71,7 @@
         job=command.job_id,
         account=account,
         workers=_workers(command.slots),
-        victims=",".join(command.victims[:MAX_NAMES]),
+        victims=",".join(command.victims[:MAX_LOGGED_NAMES]),
         stopped=len(command.victims),
         of=len(book.live),
         why=why,
@@ -79,10 +79,10 @@
     metrics.count("borrowers_stopped_total", len(command.victims), why=str(why))
 
 
-def gauges(
+def set_gauges(
     metrics: metrics_module.Metrics, domain: str, book: jobs_book.JobBook
 ) -> None:
-    """Sets the gauges that describe a domain."""
+    """Sets the gauges of a domain."""
     pool = book.pool
     metrics.gauge("accelerators", pool.accelerators, domain=domain)
     metrics.gauge("accelerators_free", pool.free_accelerators, domain=domain)
@@ -93,5 +93,9 @@
 
 def _workers(slots: tuple[jobs_messages.Slot, ...]) -> str:
     names = list(dict.fromkeys(slot.worker_id for slot in slots))
-    more = f",+{len(names) - MAX_NAMES}" if len(names) > MAX_NAMES else ""
-    return ",".join(names[:MAX_NAMES]) + more
+    more = (
+        f",+{len(names) - MAX_LOGGED_NAMES}"
+        if len(names) > MAX_LOGGED_NAMES
+        else ""
+    )
+    return ",".join(names[:MAX_LOGGED_NAMES]) + more
--- a/laburnumsill/jobs/fit.py
+++ b/laburnumsill/jobs/fit.py
@@ -1,4 +1,4 @@
-"""Finding free slots: best fit that keeps whole workers and racks whole."""
+"""Best-fit search for free slots that avoids fragmenting workers and racks."""
 
 from collections import abc
 
@@ -16,15 +16,15 @@
 ) -> Slots | None:
     """Returns free slots for all tasks of a borrowing job, or None.
 
-    The fullest rack that can hold the gang is taken, and within it the
-    fullest workers; a single task goes to a worker already in use before it
-    breaks a whole one. Only racks that have room by the indexes are looked
-    at.
+    The gang is placed in the fullest rack that can hold it, and there on the
+    fewest workers. A single task is placed on a partly used worker before an
+    empty one. Only racks with enough free capacity according to the indexes
+    are searched.
 
     Args:
         pool: The workers.
         spec: The job.
-        avoid: Workers not to use, such as those it failed on.
+        avoid: Workers to exclude, such as those on which the job failed.
     """
     for rack in _candidates(pool, spec):
         slots = pack(rack.workers.values(), spec, spec.tasks, avoid)
@@ -54,35 +54,35 @@
 ) -> Slots | None:
     """Returns `count` free slots on the given workers, or None.
 
-    The rest that fits on one worker goes to the fullest one that holds it;
-    until then the emptiest worker takes as many as it can, which spreads a
-    gang over the fewest workers.
+    As long as no worker holds all remaining tasks, the emptiest one is
+    filled; then the remainder goes to the fullest worker that holds it. This
+    places a gang on the fewest workers.
     """
-    rooms = []
+    fitting = []
     for worker in candidates:
         if not worker.usable or worker.announced.worker_id in avoid:
             continue
-        room = worker.room(spec)
-        if room:
+        capacity = worker.room(spec)
+        if capacity:
             free = worker.free_mask.bit_count()
-            rooms.append((room, free, worker.announced.worker_id, worker))
-    if sum(room for room, *_ in rooms) < count:
+            fitting.append((capacity, free, worker.announced.worker_id, worker))
+    if sum(capacity for capacity, *_ in fitting) < count:
         return None
-    rooms.sort(key=lambda entry: entry[:3])
+    fitting.sort(key=lambda entry: entry[:3])
     slots: list[jobs_messages.Slot] = []
     while len(slots) < count:
         left = count - len(slots)
-        enough = (n for n, entry in enumerate(rooms) if entry[0] >= left)
-        place = next(enough, len(rooms) - 1)
-        room, _, _, worker = rooms.pop(place)
-        slots += slots_on(worker, spec, min(room, left))
+        enough = (n for n, entry in enumerate(fitting) if entry[0] >= left)
+        place = next(enough, len(fitting) - 1)
+        capacity, _, _, worker = fitting.pop(place)
+        slots += slots_on(worker, spec, min(capacity, left))
     return tuple(slots)
 
 
 def slots_on(
     worker: workers.WorkerRecord, spec: jobs_messages.JobSpec, count: int
 ) -> list[jobs_messages.Slot]:
-    """Returns `count` free slots of one worker, which must have room."""
+    """Returns `count` free slots of one worker, which must have them."""
     free = worker.free_mask
     slots = []
     for _ in range(count):
@@ -97,7 +97,7 @@
     spec: jobs_messages.JobSpec,
     avoid: abc.Collection[str],
 ) -> Slots | None:
-    """Returns slots in several racks, for a gang that may be apart."""
+    """Returns slots in several racks, for a gang without adjacency."""
     slots: list[jobs_messages.Slot] = []
     one = spec.accelerators
     racks = (
@@ -118,9 +118,9 @@
     candidates: abc.Iterable[workers.WorkerRecord],
     spec: jobs_messages.JobSpec,
 ) -> bool:
-    """Returns whether empty workers of these racks could hold the gang."""
+    """Returns whether the gang would fit if all these workers were empty."""
     by_rack: dict[str, int] = {}
     for worker in candidates:
         rack = worker.announced.rack if spec.adjacency == "rack" else ""
         by_rack[rack] = by_rack.get(rack, 0) + worker.size(spec)
-    return any(room >= spec.tasks for room in by_rack.values())
+    return any(capacity >= spec.tasks for capacity in by_rack.values())
--- a/laburnumsill/jobs/gang_help.py
+++ b/laburnumsill/jobs/gang_help.py
@@ -1,9 +1,10 @@
-"""Helping large borrowers that small ones keep from starting.
+"""Starvation prevention for large borrowing gangs.
 
-A gang past its bound goes first where it fits. Where enough is free but
-scattered, small borrowers are moved out of its way after a part of the
-bound; past the bound slots are drained for it, and past twice the bound
-what still runs on them is stopped.
+A gang that has waited past the gang wait bound is placed before others where
+it fits. If enough capacity is free but fragmented, small borrowers are
+preempted after a part of the bound, so that they restart elsewhere. Past the
+bound, slots are reserved for the gang, and past twice the bound the borrowers
+that still run on them are preempted.
 """
 
 from collections import abc
@@ -18,92 +19,101 @@
 from laburnumsill.state import jobs_queue
 from laburnumsill.state import placements
 
-MAX_DRAINS = 2
-"""Gangs that slots are drained for at a time."""
+MAX_RESERVATIONS = 2
+"""Maximum number of borrowing gangs with a reservation at a time."""
 
 LARGE_SHARE = 0.7
-"""Part of a domain up to which large borrowers are helped while small ones
-wait past the bound too."""
+"""Fraction of a domain's accelerators up to which large gangs are favored.
 
-GANGS_A_PASS = 4
-"""Large borrowers that one pass sees to at most, the oldest first."""
+The limit applies only while small borrowers wait past the bound too.
+"""
+
+MAX_GANGS_PER_PASS = 4
+"""Maximum number of large gangs that one pass considers, oldest first."""
 
 
 def steps(
     book: jobs_book.JobBook, policy: policies.Policy, now: float
 ) -> abc.Iterator[steps_module.Step]:
-    """Sees to the large borrower that waited longest and can be helped."""
-    draining = [j for j in book.held.values() if not j.spec.guaranteed]
-    for job in draining:
-        step = hasten(book, job, policy, now)
+    """Yields preemptions on reserved slots, then a step for one waiting gang.
+
+    That gang is the longest waiting one for which a step is found.
+    """
+    reserving = [j for j in book.held.values() if not j.spec.guaranteed]
+    for job in reserving:
+        step = preempt_on_reserved(book, job, policy, now)
         if step is not None:
             yield step
-    for gang in longest_waiting(book):
-        if small_wait_too(book, policy, now) and not has_share(book, gang):
+    for gang in oldest_large_jobs(book):
+        if small_job_starves(book, policy, now) and not is_within_large_share(
+            book, gang
+        ):
             continue
-        step = _for_gang(book, gang, len(draining), policy, now)
+        step = _help_gang(book, gang, len(reserving), policy, now)
         if step is not None:
             yield step
             return
 
 
-def _for_gang(
+def _help_gang(
     book: jobs_book.JobBook,
     gang: placements.Job,
-    draining: int,
+    reserving: int,
     policy: policies.Policy,
     now: float,
 ) -> steps_module.Step | None:
-    """Returns what helps a gang along, the mildest that does."""
+    """Returns the least disruptive step that lets a gang start, or None."""
     waited = now - gang.queued_at
     if waited > policy.gang_wait_bound_s:
         slots = fit.find_free(
-            book.pool, gang.spec, steps_module.avoided(book, gang)
+            book.pool, gang.spec, steps_module.avoided_workers(book, gang)
         )
         if slots is not None:
             return steps_module.Step(
-                steps_module.place(gang, slots, now), "gang-first"
+                steps_module.place_command(gang, slots, now), "gang-first"
             )
-    if draining >= MAX_DRAINS:
+    if reserving >= MAX_RESERVATIONS:
         return None
-    if waited > policy.move_patience_s and can_move(book, gang):
-        room = drains.find_drain(book, gang, policy, now)
-        if room is not None:
-            return drain_step(gang, room, room.victims, policy, now)
+    if waited > policy.defragmentation_wait_s and is_fragmented(book, gang):
+        plan = drains.find_reservation(book, gang, policy, now)
+        if plan is not None:
+            return reservation_step(gang, plan, plan.victims, policy, now)
     if waited > policy.gang_wait_bound_s:
-        room = drains.find_drain(book, gang, policy, now)
-        if room is not None:
-            return drain_step(gang, room, (), policy, now)
+        plan = drains.find_reservation(book, gang, policy, now)
+        if plan is not None:
+            return reservation_step(gang, plan, (), policy, now)
     return None
 
 
-def longest_waiting(book: jobs_book.JobBook) -> list[placements.Job]:
-    """Returns the oldest large borrowers that no slots are held for."""
+def oldest_large_jobs(book: jobs_book.JobBook) -> list[placements.Job]:
+    """Returns the oldest large borrowers without a reservation."""
     found: list[placements.Job] = []
     for job_id in book.queue.large():
         job = book.jobs[job_id]
         if not job.hold:
             found.append(job)
-        if len(found) >= GANGS_A_PASS:
+        if len(found) >= MAX_GANGS_PER_PASS:
             break
     return found
 
 
-def small_wait_too(
+def small_job_starves(
     book: jobs_book.JobBook, policy: policies.Policy, now: float
 ) -> bool:
-    """Returns whether a small borrower has waited past the bound as well."""
+    """Returns whether a small borrower has waited past the bound too."""
     job_id = book.queue.oldest_small()
     if job_id is None:
         return False
     return now - book.jobs[job_id].queued_at > policy.gang_wait_bound_s
 
 
-def has_share(book: jobs_book.JobBook, gang: placements.Job) -> bool:
-    """Returns whether large borrowers have less than what they may claim.
+def is_within_large_share(
+    book: jobs_book.JobBook, gang: placements.Job
+) -> bool:
+    """Returns whether a gang fits into the share of large borrowers.
 
-    While small jobs wait long too, large ones are helped up to a part of the
-    domain, one gang at least; beyond it they compete like all others.
+    The share is `LARGE_SHARE` of the domain, but at least one gang. While
+    small jobs starve too, gangs beyond it are scheduled like all others.
     """
     held = sum(
         job.spec.total_accelerators
@@ -115,27 +125,28 @@
     return book.large_in_use + held + size <= max(share, size)
 
 
-def can_move(book: jobs_book.JobBook, gang: placements.Job) -> bool:
-    """Returns whether a gang only lacks that what is free is together.
+def is_fragmented(book: jobs_book.JobBook, gang: placements.Job) -> bool:
+    """Returns whether only fragmentation keeps a gang from starting.
 
-    What is stopped to make room for it fits into what is free elsewhere.
+    Enough accelerators are free then, so the borrowers preempted for the gang
+    fit into the free capacity elsewhere.
     """
     return book.pool.free_accelerators >= gang.spec.total_accelerators
 
 
-def drain_step(
+def reservation_step(
     gang: placements.Job,
-    room: eviction.Room,
+    plan: eviction.PreemptionPlan,
     victims: tuple[str, ...],
     policy: policies.Policy,
     now: float,
 ) -> steps_module.Step:
-    """Returns the hold that keeps slots for a gang and stops the victims."""
+    """Returns the reservation of slots for a gang that preempts the victims."""
     return steps_module.Step(
         jobs_messages.HoldSlots(
             gang.job_id,
             gang.epoch,
-            room.slots,
+            plan.slots,
             bind=(),
             victims=victims,
             reason=jobs_messages.StopReason.DRAINED,
@@ -146,19 +157,22 @@
     )
 
 
-def hasten(
+def preempt_on_reserved(
     book: jobs_book.JobBook,
     gang: placements.Job,
     policy: policies.Policy,
     now: float,
 ) -> steps_module.Step | None:
-    """Stops what still runs on slots that drain for too long."""
-    if now - gang.queued_at < drains.STOP_FACTOR * policy.gang_wait_bound_s:
+    """Returns the preemption of borrowers on slots reserved for too long."""
+    if (
+        now - gang.queued_at
+        < drains.PREEMPTION_WAIT_FACTOR * policy.gang_wait_bound_s
+    ):
         return None
     victims = tuple(
         victim
-        for victim in in_way(book, gang)
-        if drains.may_stop(book.jobs[victim], gang, policy, now)
+        for victim in victims_on_reserved(book, gang)
+        if drains.may_preempt(book.jobs[victim], gang, policy, now)
     )
     if not victims:
         return None
@@ -177,11 +191,14 @@
     )
 
 
-def in_way(book: jobs_book.JobBook, job: placements.Job) -> tuple[str, ...]:
-    """Returns the borrowers that still run on a job's held slots."""
-    costs = eviction.Costs(book, 0.0)
-    chunks = [
-        eviction.Chunk(0.0, slot.worker_id, slot.mask) for slot in job.hold
+def victims_on_reserved(
+    book: jobs_book.JobBook, job: placements.Job
+) -> tuple[str, ...]:
+    """Returns the borrowers that still run on a job's reserved slots."""
+    costs = eviction.PreemptionCosts(book, 0.0)
+    candidates = [
+        eviction.CandidateSlot(0.0, slot.worker_id, slot.mask)
+        for slot in job.hold
     ]
-    room = eviction.settle(book, job, chunks, costs)
-    return room.victims if room is not None else ()
+    plan = eviction.plan_preemption(book, job, candidates, costs)
+    return plan.victims if plan is not None else ()
--- a/laburnumsill/jobs/gangs.py
+++ b/laburnumsill/jobs/gangs.py
@@ -1,8 +1,9 @@
-"""Starting and stopping whole gangs.
+"""Start and stop of whole gangs.
 
-A gang starts when every member has prepared and that is committed; if one
-member fails, refuses or does not answer, all are stopped. Its slots are free
-again only when every member confirmed its end or every lease has ended.
+A gang starts once every member has prepared and this is committed. If one
+member fails, refuses or does not answer, all are stopped. The slots of a gang
+are free again only when every member has confirmed its end or every lease
+has expired.
 """
 
 import dataclasses
@@ -23,16 +24,16 @@
 Action = worker_client.Action
 StopReason = jobs_messages.StopReason
 
-ATTEMPT_TIMEOUT_S = 1.0
-"""Time for one call to a worker, in seconds."""
+CALL_TIMEOUT_S = 1.0
+"""Timeout of one call to a worker, in seconds."""
 
-CALL_PART = 0.3
-"""All attempts at one step take at most this part of a lease."""
+STEP_LEASE_FRACTION = 0.3
+"""Timeout of all attempts at one step, as a fraction of a lease."""
 
 RETRY_PAUSE_S = 0.1
 CHECKPOINT_POLL_S = 0.1
-REFUSALS = 2
-"""Refusals of one step before it counts as refused."""
+MAX_REFUSALS = 2
+"""Number of refusals after which a step has failed."""
 
 
 class StepFailedError(errors.LaburnumsillError):
@@ -61,12 +62,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Member:
-    """One task of a placement and where it is.
+    """One task of a placement.
 
     Attributes:
-        task_id: Its name on the worker.
-        address: The worker's task interface.
-        slot: Its accelerators.
+        task_id: Id of the task on its worker.
+        address: Address of the worker's task interface.
+        slot: The worker and the accelerators of the task.
     """
 
     task_id: str
@@ -75,8 +76,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Limits:
-    """What of the job policy the gang's life depends on."""
+class GangLimits:
+    """The limits of the job policy that apply to placed gangs."""
 
     lease_s: float
     max_tries: int
@@ -84,7 +85,7 @@
 
 
 class GangDriver:
-    """Drives the placements of one domain through their steps."""
+    """Starts and stops the placements of one domain."""
 
     def __init__(
         self,
@@ -93,7 +94,7 @@
         client: worker_client.WorkerClient,
         clock: clocks.Clock,
         metrics: metrics_module.Metrics,
-        limits: abc.Callable[[], Limits],
+        limits: abc.Callable[[], GangLimits],
     ) -> None:
         self._domain = domain
         self._granter = granter
@@ -117,10 +118,11 @@
     async def throttle(
         self, worker_id: str, task_id: str, epoch: int, share: float
     ) -> None:
-        """Lets a task run at a part of full speed.
+        """Limits a task to a fraction of full speed.
 
         Raises:
-            errors.LaburnumsillError: The worker is unknown or did not do it.
+            errors.LaburnumsillError: The worker is unknown, or the call
+                failed.
         """
         worker = self._domain.ledger.book.pool.workers.get(worker_id)
         if worker is None:
@@ -130,14 +132,14 @@
             Action.THROTTLE,
             task_id,
             epoch,
-            self._granter.until,
-            self._clock.monotonic() + ATTEMPT_TIMEOUT_S,
+            self._granter.expires_at,
+            self._clock.monotonic() + CALL_TIMEOUT_S,
             share,
         )
 
     async def start(self, job_id: str, epoch: int) -> None:
-        """Prepares all members, commits that, and starts them."""
-        job = self._current(job_id, epoch)
+        """Prepares all members, commits the start, and starts them."""
+        job = self._unstopped(job_id, epoch)
         if job is None:
             return
         members = self.members(job)
@@ -148,13 +150,13 @@
             )
             await self._start_all(job_id, epoch, members)
         except StepFailedError as error:
-            await self.give_up(
+            await self.commit_stop(
                 job_id, epoch, error.reason, error.worker_id, error.detail
             )
         except errors.ConflictError as error:
             logs.event("start-refused", job=job_id, detail=error.detail)
 
-    async def give_up(
+    async def commit_stop(
         self,
         job_id: str,
         epoch: int,
@@ -163,7 +165,7 @@
         detail: str = "",
         checkpoint_until: float = 0.0,
     ) -> None:
-        """Commits that a placement is stopped; `stop` does the rest."""
+        """Commits the stop of a placement; `stop` then executes it."""
         limits = self._limits()
         logs.decision(
             "placement-stopped",
@@ -192,7 +194,7 @@
             logs.event("stop-refused", job=job_id, detail=error.detail)
 
     async def stop(self, job_id: str, epoch: int) -> None:
-        """Ends all members of a placement that was given up, and frees it."""
+        """Stops all members of a stopping placement and releases its slots."""
         job = self._domain.ledger.book.jobs[job_id]
         placement = job.placement
         if placement is None or placement.epoch != epoch:
@@ -210,8 +212,8 @@
             )
         )
 
-    def _current(self, job_id: str, epoch: int) -> placements.Job | None:
-        """Returns the job if its placement is `epoch` and is not stopped."""
+    def _unstopped(self, job_id: str, epoch: int) -> placements.Job | None:
+        """Returns the job if placement `epoch` is current and not stopping."""
         job = self._domain.ledger.book.jobs.get(job_id)
         if job is None or job.placement is None:
             return None
@@ -224,55 +226,55 @@
         self, job: placements.Job, members: abc.Sequence[Member]
     ) -> None:
         lease_s = self._limits().lease_s
-        until = await self._granter.fresh(lease_s)
-        deadline = self._clock.monotonic() + CALL_PART * lease_s
+        expires_at = await self._granter.extend_if_due(lease_s)
+        deadline = self._clock.monotonic() + STEP_LEASE_FRACTION * lease_s
 
         async def prepare(member: Member) -> None:
-            order = _order(job, member, until)
-            await self._repeat(
+            order = _prepare_order(job, member, expires_at)
+            await self._retry(
                 member,
                 deadline,
-                lambda soon: self._client.prepare(
-                    member.address, member.task_id, order, soon
+                lambda call_deadline: self._client.prepare(
+                    member.address, member.task_id, order, call_deadline
                 ),
             )
 
-        await self._all(members, prepare)
+        await self._run_on_all(members, prepare)
 
     async def _start_all(
         self, job_id: str, epoch: int, members: abc.Sequence[Member]
     ) -> None:
         lease_s = self._limits().lease_s
-        until = await self._granter.fresh(lease_s)
-        deadline = self._clock.monotonic() + CALL_PART * lease_s
+        expires_at = await self._granter.extend_if_due(lease_s)
+        deadline = self._clock.monotonic() + STEP_LEASE_FRACTION * lease_s
 
         async def start(member: Member) -> None:
-            if self._current(job_id, epoch) is None:
+            if self._unstopped(job_id, epoch) is None:
                 return
-            await self._repeat(
+            await self._retry(
                 member,
                 deadline,
-                lambda soon: self._client.act(
+                lambda call_deadline: self._client.act(
                     member.address,
                     Action.START,
                     member.task_id,
                     epoch,
-                    until,
-                    soon,
+                    expires_at,
+                    call_deadline,
                 ),
             )
 
-        await self._all(members, start)
+        await self._run_on_all(members, start)
 
-    async def _all(
+    async def _run_on_all(
         self,
         members: abc.Sequence[Member],
         step: abc.Callable[[Member], abc.Awaitable[None]],
     ) -> None:
-        """Takes a step for all members at once; the first failure ends it."""
+        """Runs a step for all members concurrently, up to the first failure."""
         failures: list[StepFailedError] = []
 
-        async def one(member: Member, scope: trio.CancelScope) -> None:
+        async def run_on(member: Member, scope: trio.CancelScope) -> None:
             try:
                 await step(member)
             except StepFailedError as error:
@@ -281,37 +283,38 @@
 
         async with trio.open_nursery() as nursery:
             for member in members:
-                nursery.start_soon(one, member, nursery.cancel_scope)
+                nursery.start_soon(run_on, member, nursery.cancel_scope)
         if failures:
             raise failures[0]
 
-    async def _repeat(
+    async def _retry(
         self,
         member: Member,
         deadline: float,
         call: abc.Callable[[float], abc.Awaitable[worker_client.TaskReport]],
     ) -> None:
-        """Repeats a call until it succeeds.
+        """Retries a call until it succeeds.
 
         Raises:
-            StepFailedError: It was refused, or no answer came in time.
+            StepFailedError: The worker refused the call `MAX_REFUSALS` times,
+                the task is not live, or the deadline passed without an answer.
         """
         refusals = 0
         while True:
-            soon = self._clock.monotonic() + ATTEMPT_TIMEOUT_S
+            call_deadline = self._clock.monotonic() + CALL_TIMEOUT_S
             try:
-                report = await call(min(soon, deadline))
+                report = await call(min(call_deadline, deadline))
                 if not report.live and report.state != "succeeded":
-                    raise _failed(member, f"is {report.state}")
+                    raise _step_failed(member, f"is {report.state}")
                 return
             except worker_client.TaskNotLiveError as error:
                 if error.state == "succeeded":
                     return
-                raise _failed(member, error.detail) from error
+                raise _step_failed(member, error.detail) from error
             except worker_client.WorkerRefusedError as error:
                 refusals += 1
-                if refusals >= REFUSALS:
-                    raise _failed(member, error.detail) from error
+                if refusals >= MAX_REFUSALS:
+                    raise _step_failed(member, error.detail) from error
             except worker_client.WorkerUnreachableError as error:
                 if self._clock.monotonic() >= deadline:
                     raise StepFailedError(
@@ -326,7 +329,7 @@
         placement: placements.Placement,
         members: abc.Sequence[Member],
     ) -> None:
-        """Lets the members save their work, up to the committed deadline."""
+        """Checkpoints the members, up to the committed deadline."""
         if placement.checkpoint_until <= self._clock.wall():
             return
         async with trio.open_nursery() as nursery:
@@ -339,7 +342,7 @@
         began = self._clock.wall()
         action = Action.CHECKPOINT
         while self._clock.wall() < placement.checkpoint_until:
-            soon = self._clock.monotonic() + ATTEMPT_TIMEOUT_S
+            call_deadline = self._clock.monotonic() + CALL_TIMEOUT_S
             try:
                 report = await self._client.act(
                     member.address,
@@ -347,7 +350,7 @@
                     member.task_id,
                     placement.epoch,
                     placement.checkpoint_until,
-                    soon,
+                    call_deadline,
                 )
                 action = Action.RENEW
                 if (report.checkpointed_at or 0.0) >= began:
@@ -363,7 +366,7 @@
         placement: placements.Placement,
         members: abc.Sequence[Member],
     ) -> bool:
-        """Stops the members; returns whether all confirmed it."""
+        """Stops the members and returns whether all confirmed their end."""
         confirmed: list[bool] = []
 
         async def stop(member: Member) -> None:
@@ -378,7 +381,7 @@
         self, placement: placements.Placement, member: Member
     ) -> bool:
         while self._clock.wall() < placement.safe_at + RETRY_PAUSE_S:
-            soon = self._clock.monotonic() + ATTEMPT_TIMEOUT_S
+            call_deadline = self._clock.monotonic() + CALL_TIMEOUT_S
             try:
                 report = await self._client.act(
                     member.address,
@@ -386,7 +389,7 @@
                     member.task_id,
                     placement.epoch,
                     placement.safe_at,
-                    soon,
+                    call_deadline,
                 )
                 if not report.live:
                     return True
@@ -401,20 +404,20 @@
         return False
 
 
-def _failed(member: Member, detail: str) -> StepFailedError:
+def _step_failed(member: Member, detail: str) -> StepFailedError:
     return StepFailedError(
         detail, worker_id=member.slot.worker_id, reason=StopReason.REFUSED
     )
 
 
-def _order(
-    job: placements.Job, member: Member, until: float
+def _prepare_order(
+    job: placements.Job, member: Member, expires_at: float
 ) -> worker_client.Prepare:
     spec = job.spec
     return worker_client.Prepare(
         job_id=job.job_id,
         epoch=job.epoch,
-        lease_deadline=until,
+        lease_deadline=expires_at,
         accelerators=worker_client.indexes(member.slot.mask, spec.accelerators),
         cores=spec.cores,
         memory_gb=spec.memory_gb,
--- a/laburnumsill/jobs/leases.py
+++ b/laburnumsill/jobs/leases.py
@@ -1,4 +1,4 @@
-"""Granting leases no further than the domain's group has committed."""
+"""Granting of leases up to the expiry that the domain's group committed."""
 
 import trio
 
@@ -6,20 +6,22 @@
 from laburnumsill.jobs import access
 from laburnumsill.state import jobs_messages
 
-FRESH_PART = 0.75
-"""A lease with less than this part of its length left is extended first, so
-that a round of renewals may be missed."""
+EXTEND_BELOW_FRACTION = 0.75
+"""Fraction of a lease; with less time than this left, the expiry is extended.
 
-RENEWALS = 3
-"""Renewals for each length of a lease."""
+The margin lets members miss one round of renewals.
+"""
+
+RENEWALS_PER_LEASE = 3
+"""Minimum number of renewals in the length of a lease."""
 
 
 class LeaseGranter:
-    """Moves on the committed end of leases and says who may have one.
+    """Extends the committed expiry of leases and decides which jobs renew.
 
-    All leases of a domain end at the same committed point in time. A leader
-    that was deposed cannot move it on, and so cannot prolong a lease that
-    its successor has reason to believe ended.
+    All leases of a domain have the same committed expiry. A deposed leader
+    cannot commit an extension, and so cannot renew a lease that its successor
+    assumes to be expired.
     """
 
     def __init__(
@@ -31,22 +33,22 @@
         self._lock = trio.Lock()
 
     @property
-    def until(self) -> float:
-        """Wall time up to which leases may be granted now."""
+    def expires_at(self) -> float:
+        """Committed expiry of leases, the latest that may be granted."""
         return self._granted.until
 
-    async def fresh(self, lease_s: float) -> float:
-        """Returns a committed end of leases that is far enough away.
+    async def extend_if_due(self, lease_s: float) -> float:
+        """Returns the committed expiry of leases, after extending it if due.
 
         Args:
             lease_s: Length of a lease in seconds.
 
         Raises:
-            access.NotLeadingError: This VM leads no more.
+            access.NotLeadingError: This VM is not the leader any more.
         """
         async with self._lock:
             now = self._clock.wall()
-            if self._granted.until - now < FRESH_PART * lease_s:
+            if self._granted.until - now < EXTEND_BELOW_FRACTION * lease_s:
                 self._granted = await self._domain.propose(
                     jobs_messages.ExtendLeases(
                         self._domain.term, now + lease_s, now
@@ -55,5 +57,5 @@
         return self._granted.until
 
     def may_renew(self, job_id: str) -> bool:
-        """Returns whether a job was not being stopped at the last commit."""
+        """Returns whether a job was not being stopped at the last extension."""
         return job_id not in self._granted.stopping
--- a/laburnumsill/jobs/membership.py
+++ b/laburnumsill/jobs/membership.py
@@ -1,8 +1,8 @@
-"""Committing which workers are there, from what the members announce.
+"""Reconciliation of the ledger's workers with the member view.
 
-A worker that is missing from the view gets no new work at once. It is gone,
-and what ran on it is stopped, when it has been missing and silent for a
-while.
+A worker that is missing from the view is marked as leaving at once, so that
+it gets no new tasks. After `REMOVAL_DELAY_S` without contact it is removed
+and its tasks are stopped.
 """
 
 import dataclasses
@@ -14,22 +14,25 @@
 from laburnumsill.state import jobs_messages
 from laburnumsill.state import workers
 
-GONE_AFTER_S = 2.0
-"""How long a worker must be missing from the view, and silent, to be gone.
+REMOVAL_DELAY_S = 2.0
+"""Time without contact after which a missing worker is removed, in seconds.
 
-The view itself waits for the worker's announcements to run out; this only
-covers a view that is not whole yet, as after a restart.
+The view itself keeps a worker until its announcements expire; this delay only
+covers a view that is still incomplete, such as after a restart.
 """
 
-BATCH = 256
-"""Workers in one command at most."""
+MAX_WORKERS_PER_COMMAND = 256
+"""Maximum number of workers in each list of one command."""
 
 
 class WorkerSync:
-    """Compares the view of members with the ledger's workers.
+    """Compares the member view with the ledger's workers.
 
-    Attributes:
-        contacts: Monotonic point of the last answer of each worker.
+    Args:
+        domain: The failure domain.
+        view: The member view.
+        clock: The clock.
+        contacts: Monotonic time of the last contact with each worker.
     """
 
     def __init__(
@@ -44,22 +47,22 @@
         self._clock = clock
         self._contacts = contacts
         self._missing_since: dict[str, float] = {}
-        self._young_until = clock.monotonic() + GONE_AFTER_S
+        self._startup_grace_until = clock.monotonic() + REMOVAL_DELAY_S
 
     def changes(
         self, ledger: jobs.JobLedger
     ) -> jobs_messages.PutWorkers | None:
-        """Returns the command that brings the ledger up to date, or None."""
+        """Returns the command that updates the ledger's workers, or None."""
         known = ledger.book.pool.workers
         present = self._view.workers(self._domain)
         seen = {worker.worker_id for worker in present}
         missing = self._missing(seen, known)
-        if not seen and self._clock.monotonic() < self._young_until:
+        if not seen and self._clock.monotonic() < self._startup_grace_until:
             return None
         changed = [
             worker
             for worker in present
-            if _is_news(known.get(worker.worker_id), worker)
+            if _needs_update(known.get(worker.worker_id), worker)
         ]
         for name in missing:
             announced = known[name].announced
@@ -69,7 +72,9 @@
         if not changed and not gone:
             return None
         return jobs_messages.PutWorkers(
-            tuple(changed[:BATCH]), tuple(gone[:BATCH]), self._clock.wall()
+            tuple(changed[:MAX_WORKERS_PER_COMMAND]),
+            tuple(gone[:MAX_WORKERS_PER_COMMAND]),
+            self._clock.wall(),
         )
 
     def _missing(
@@ -95,23 +100,23 @@
             silent_since = max(
                 self._missing_since[name], self._contacts.get(name, 0.0)
             )
-            if now - silent_since >= GONE_AFTER_S:
+            if now - silent_since >= REMOVAL_DELAY_S:
                 gone.append(name)
         return gone
 
 
-def _is_news(
+def _needs_update(
     record: workers.WorkerRecord | None, announced: members_module.Worker
 ) -> bool:
     if record is None:
         return True
-    return not record.gone and differs(record.announced, announced)
+    return not record.gone and has_changed(record.announced, announced)
 
 
-def differs(
+def has_changed(
     known: members_module.Worker, announced: members_module.Worker
 ) -> bool:
-    """Returns whether an announcement says more than that it is alive."""
+    """Returns whether an announcement changes more than liveness."""
     if known is announced:
         return False
     return (
--- a/laburnumsill/jobs/overuse.py
+++ b/laburnumsill/jobs/overuse.py
@@ -1,10 +1,10 @@
-"""Holding tasks to what they declared, from reports that lag behind.
+"""Enforcement of declared resources, from delayed usage reports.
 
-A task that uses more cores than it was given is throttled; one that goes on
-so in later reports, or whose memory leaves its worker short, is checkpointed
-and stopped, which counts as a failed try. On each worker borrowers are dealt
-with before guaranteed tasks. Nothing safe rests on this: what is guaranteed
-is kept by leases and cells, not by declarations.
+A task that uses more cores than it declared is throttled. If it still does in
+later reports, or if its memory use leaves its worker short of memory, it is
+checkpointed and stopped, which counts as a failed try. On each worker,
+borrowers are limited before guaranteed tasks. Safety does not depend on this:
+guarantees rest on leases and cells, not on declarations.
 """
 
 import collections
@@ -22,21 +22,24 @@
 from laburnumsill.state import jobs_messages
 from laburnumsill.state import placements
 
-INTERVAL_S = 1.0
-"""Time between two looks at the reports, in seconds."""
+CHECK_INTERVAL_S = 1.0
+"""Interval at which usage reports are evaluated, in seconds."""
 
-TOLERANCE = 1.25
-"""Use over what was declared that is let pass."""
+OVERUSE_FACTOR = 1.25
+"""Ratio of used to declared resources that is tolerated."""
 
-PATIENCE = 4
-"""Reports of over-use after a throttle before a task is stopped."""
+MAX_OVERUSE_REPORTS = 4
+"""Number of reports of over-use in a row that do not stop a task yet.
 
-SHORT_MEMORY = 0.95
-"""Part of a worker's memory in use from which over-use is stopped."""
+The first of them throttles the task.
+"""
+
+MEMORY_PRESSURE_FRACTION = 0.95
+"""Fraction of a worker's memory in use above which over-use is stopped."""
 
 
 class TaskUse(pydantic.BaseModel):
-    """What a task used when the report was made."""
+    """Resources that a task used at the time of the report."""
 
     model_config = pydantic.ConfigDict(extra="ignore", from_attributes=True)
 
@@ -48,30 +51,30 @@
 
 
 class Report(pydantic.BaseModel):
-    """A worker's report of the use of its tasks."""
+    """A worker's usage report on its tasks."""
 
     model_config = pydantic.ConfigDict(extra="ignore", from_attributes=True)
 
     tasks: list[TaskUse] = []
 
 
-class Kind(enum.StrEnum):
-    """What is done about over-use."""
+class EnforcementKind(enum.StrEnum):
+    """The kinds of enforcement against over-use."""
 
     THROTTLE = "throttle"
     STOP = "stop"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Measure:
-    """What is to be done about one task.
+class Enforcement:
+    """An enforcement against one task.
 
     Attributes:
-        share: Part of full speed, for THROTTLE.
-        detail: What was used and what was declared.
+        share: Fraction of full speed, for THROTTLE.
+        detail: The used and the declared resources.
     """
 
-    kind: Kind
+    kind: EnforcementKind
     task_id: str
     job_id: str
     epoch: int
@@ -85,10 +88,10 @@
 
     def __init__(self) -> None:
         self._reports: dict[str, Report] = {}
-        self._over: collections.Counter[str] = collections.Counter()
+        self._overuse_counts: collections.Counter[str] = collections.Counter()
 
-    def note(self, worker_id: str, report: typing.Any) -> None:
-        """Keeps a worker's newest report; a malformed one is dropped."""
+    def record_report(self, worker_id: str, report: typing.Any) -> None:
+        """Stores a worker's newest report; a malformed one is dropped."""
         try:
             self._reports[worker_id] = Report.model_validate(report)
         except pydantic.ValidationError as error:
@@ -96,35 +99,37 @@
                 "usage-malformed", worker=worker_id, error=error.error_count()
             )
 
-    def actions(self, book: jobs_book.JobBook) -> list[Measure]:
-        """Returns what to do about the reports since the last call."""
+    def enforcements(self, book: jobs_book.JobBook) -> list[Enforcement]:
+        """Returns the enforcements for the reports since the last call."""
         found = []
         reports, self._reports = self._reports, {}
         for worker_id, report in reports.items():
             found += self._on_worker(book, worker_id, report)
         live = sum(len(job.slots) for job in book.live.values())
-        if len(self._over) > 2 * live + 100:
-            self._over.clear()
+        if len(self._overuse_counts) > 2 * live + 100:
+            self._overuse_counts.clear()
         return found
 
     def _on_worker(
         self, book: jobs_book.JobBook, worker_id: str, report: Report
-    ) -> list[Measure]:
+    ) -> list[Enforcement]:
         worker = book.pool.workers.get(worker_id)
         if worker is None:
             return []
         memory_gb = sum(task.memory_gb for task in report.tasks)
-        short = memory_gb > SHORT_MEMORY * worker.announced.memory_gb
-        borrowed: list[Measure] = []
-        guaranteed: list[Measure] = []
+        short_of_memory = (
+            memory_gb > MEMORY_PRESSURE_FRACTION * worker.announced.memory_gb
+        )
+        borrowed: list[Enforcement] = []
+        guaranteed: list[Enforcement] = []
         for task in report.tasks:
             job = book.live.get(task.job_id)
             if job is None or job.epoch != task.epoch:
                 continue
-            measure = self._on_task(job, worker_id, task, short)
-            if measure is not None:
-                kept = guaranteed if job.spec.guaranteed else borrowed
-                kept.append(measure)
+            enforcement = self._on_task(job, worker_id, task, short_of_memory)
+            if enforcement is not None:
+                enforcements = guaranteed if job.spec.guaranteed else borrowed
+                enforcements.append(enforcement)
         return borrowed or guaranteed
 
     def _on_task(
@@ -133,22 +138,22 @@
         worker_id: str,
         task: TaskUse,
         short_of_memory: bool,
-    ) -> Measure | None:
+    ) -> Enforcement | None:
         spec = job.spec
-        over_cores = task.cores > TOLERANCE * max(spec.cores, 0.1)
+        over_cores = task.cores > OVERUSE_FACTOR * max(spec.cores, 0.1)
         over_memory = (
-            short_of_memory and task.memory_gb > TOLERANCE * spec.memory_gb
+            short_of_memory and task.memory_gb > OVERUSE_FACTOR * spec.memory_gb
         )
         if not over_cores and not over_memory:
-            del self._over[task.task_id]
+            del self._overuse_counts[task.task_id]
             return None
-        self._over[task.task_id] += 1
-        seen = self._over[task.task_id]
-        stop = over_memory or seen > PATIENCE
-        if not stop and seen > 1:
+        self._overuse_counts[task.task_id] += 1
+        count = self._overuse_counts[task.task_id]
+        stop = over_memory or count > MAX_OVERUSE_REPORTS
+        if not stop and count > 1:
             return None
-        return Measure(
-            Kind.STOP if stop else Kind.THROTTLE,
+        return Enforcement(
+            EnforcementKind.STOP if stop else EnforcementKind.THROTTLE,
             task.task_id,
             job.job_id,
             job.epoch,
@@ -161,35 +166,38 @@
         )
 
 
-async def carry_out(
-    measure: Measure,
+async def enforce(
+    enforcement: Enforcement,
     driver: gangs.GangDriver,
     clock: clocks.Clock,
     checkpoint_timeout_s: float,
 ) -> None:
-    """Throttles a task, or has its gang checkpointed and stopped."""
+    """Throttles a task, or commits the stop of its gang."""
     logs.decision(
         "over-use",
-        what=measure.kind,
-        job=measure.job_id,
-        task=measure.task_id,
-        worker=measure.worker_id,
-        share=measure.share,
-        detail=measure.detail,
+        what=enforcement.kind,
+        job=enforcement.job_id,
+        task=enforcement.task_id,
+        worker=enforcement.worker_id,
+        share=enforcement.share,
+        detail=enforcement.detail,
     )
-    if measure.kind == Kind.STOP:
-        await driver.give_up(
-            measure.job_id,
-            measure.epoch,
+    if enforcement.kind == EnforcementKind.STOP:
+        await driver.commit_stop(
+            enforcement.job_id,
+            enforcement.epoch,
             jobs_messages.StopReason.OVER_USE,
-            blamed=measure.worker_id,
-            detail=f"used more than declared: {measure.detail}",
+            blamed=enforcement.worker_id,
+            detail=f"used more than declared: {enforcement.detail}",
             checkpoint_until=clock.wall() + checkpoint_timeout_s,
         )
         return
     try:
         await driver.throttle(
-            measure.worker_id, measure.task_id, measure.epoch, measure.share
+            enforcement.worker_id,
+            enforcement.task_id,
+            enforcement.epoch,
+            enforcement.share,
         )
     except errors.LaburnumsillError as error:
         logs.event("throttle-failed", detail=error.detail)
--- a/laburnumsill/jobs/planner.py
+++ b/laburnumsill/jobs/planner.py
@@ -1,8 +1,8 @@
-"""The planner: what to do next in a domain, from its state, time and policy.
+"""The planner of a domain: a function of its state, the time and the policy.
 
-A pass yields commands one by one. The caller applies each before it asks
-for the next, so every step sees the state that the one before has left.
-Nothing here does I/O, and no step looks at all jobs or all workers.
+A pass yields commands one by one. The caller applies each command before it
+requests the next, so every step is planned on the state after the previous
+one. The planner does no I/O, and no step iterates over all jobs or workers.
 """
 
 import dataclasses
@@ -21,104 +21,115 @@
 from laburnumsill.state import jobs_queue
 from laburnumsill.state import placements
 
-SHAPES_A_PASS = 256
-"""Shapes of borrowing jobs that one pass tries at most."""
+MAX_SHAPES_PER_PASS = 256
+"""Maximum number of shapes of borrowing jobs that one pass tries to place."""
 
 URGENT_CHECKPOINT_S = 1.0
-"""Time in seconds that borrowers have to save work for an urgent claim."""
+"""Checkpoint timeout of borrowers preempted by an urgent job, in seconds."""
 
-RETRY_REFUSED_S = 0.5
-"""A step that the ledger refused is planned again after this, in seconds,
-though nothing became free: what stood in its way may be gone without that."""
+REFUSAL_RETRY_S = 0.5
+"""Delay before a refused step is planned again, in seconds.
+
+The step is retried even if no capacity became free, because the cause of the
+refusal may end without freeing any.
+"""
 
 
 @dataclasses.dataclass(slots=True)
-class Memory:
-    """What a pass need not try again until something becomes free.
+class NegativeCache:
+    """Negative cache: searches that failed and need not be repeated yet.
+
+    An entry is valid until capacity becomes free, which `Pool.freed` counts.
 
     Attributes:
-        retry_at: From this point, wall time, all is tried again.
-        freed: `Pool.freed` when `stuck` was noted.
-        full: Shapes that no free slots were found for, with `Pool.freed` as
-            it was then.
-        stuck: Accounts and shapes that no claim was found for.
+        retry_at: Wall time at which the whole cache is cleared.
+        freed: `Pool.freed` for which `unclaimable` is valid.
+        unplaceable: Shapes for which no free slots were found, with the
+            `Pool.freed` of that search.
+        unclaimable: Accounts and shapes for which no claim was found.
     """
 
     retry_at: float = math.inf
     freed: int = -1
-    full: dict[jobs_queue.Shape, int] = dataclasses.field(default_factory=dict)
-    stuck: set[tuple[str, jobs_queue.Shape]] = dataclasses.field(
+    unplaceable: dict[jobs_queue.Shape, int] = dataclasses.field(
+        default_factory=dict
+    )
+    unclaimable: set[tuple[str, jobs_queue.Shape]] = dataclasses.field(
         default_factory=set
     )
 
     def refresh(self, freed: int, waiting: int, now: float) -> None:
-        """Forgets what may have changed since, and shapes that wait no more.
+        """Removes entries that are out of date and bounds the cache's size.
 
         Args:
-            freed: `Pool.freed` now.
-            waiting: The number of shapes that wait.
+            freed: The current `Pool.freed`.
+            waiting: The number of shapes among the queued borrowing jobs.
             now: Wall time.
         """
         if now >= self.retry_at:
             self.retry_at = math.inf
-            self.full.clear()
-            self.stuck.clear()
+            self.unplaceable.clear()
+            self.unclaimable.clear()
         if freed != self.freed:
             self.freed = freed
-            self.stuck.clear()
-        if len(self.full) > 2 * waiting + SHAPES_A_PASS:
-            self.full.clear()
+            self.unclaimable.clear()
+        if len(self.unplaceable) > 2 * waiting + MAX_SHAPES_PER_PASS:
+            self.unplaceable.clear()
 
-    def untried(
+    def shapes_to_try(
         self, shapes: abc.Iterable[jobs_queue.Shape]
     ) -> set[jobs_queue.Shape]:
-        """Returns the shapes to look at in this pass.
+        """Returns the shapes that this pass tries to place.
 
-        Of very many shapes those tried longest ago are taken.
+        If there are more than `MAX_SHAPES_PER_PASS`, these are the least
+        recently tried ones.
         """
         found = [
-            shape for shape in shapes if self.full.get(shape, -1) != self.freed
+            shape
+            for shape in shapes
+            if self.unplaceable.get(shape, -1) != self.freed
         ]
-        if len(found) > SHAPES_A_PASS:
-            found.sort(key=lambda shape: self.full.get(shape, -1))
-        return set(found[:SHAPES_A_PASS])
+        if len(found) > MAX_SHAPES_PER_PASS:
+            found.sort(key=lambda shape: self.unplaceable.get(shape, -1))
+        return set(found[:MAX_SHAPES_PER_PASS])
 
 
 class Planner:
-    """Plans for one domain."""
+    """Plans the placements, reservations and preemptions of one domain."""
 
     def __init__(self) -> None:
-        self._memory = Memory()
+        self._cache = NegativeCache()
 
     def steps(
         self, book: jobs_book.JobBook, policy: policies.Policy, now: float
     ) -> abc.Iterator[steps_module.Step]:
-        """Yields what to do now, the most urgent first.
+        """Yields the steps of one pass, the most urgent first.
 
         Args:
-            book: The domain's state; it changes between two steps.
+            book: The domain's state; the caller changes it between steps.
             policy: Weights and limits.
             now: Wall time.
         """
         waiting = len(book.queue.borrowing_shapes())
-        self._memory.refresh(book.pool.freed, waiting, now)
-        yield from self._held(book, now)
-        yield from self._guaranteed(book, policy, now)
+        self._cache.refresh(book.pool.freed, waiting, now)
+        yield from self._place_reserved(book, now)
+        yield from self._claim_guaranteed(book, policy, now)
         yield from self._gangs(book, policy, now)
-        yield from self._borrowers(book, policy, now)
+        yield from self._place_borrowers(book, policy, now)
 
-    def refused(
+    def record_refusal(
         self,
         book: jobs_book.JobBook,
         command: steps_module.Command,
         now: float,
     ) -> None:
-        """Notes that the ledger refused a step, so that others come first.
+        """Records that the ledger refused a step, so that others are tried.
 
-        Another command came between the plan and its commit. If it was about
-        the job itself, as its cancellation, others of its shape may go there
-        at once. Otherwise the shape is passed over until something becomes
-        free, or for `RETRY_REFUSED_S`.
+        A step is refused if another command was committed between planning
+        and commit. If that command took the job out of the queue, such as a
+        cancellation, other jobs of the same shape stay eligible. Otherwise
+        the shape is skipped until capacity becomes free, but for no longer
+        than `REFUSAL_RETRY_S`.
         """
         if isinstance(command, jobs_messages.ReturnWorker):
             return
@@ -127,65 +138,68 @@
             return
         shape = jobs_queue.shape_of(job)
         if job.spec.guaranteed:
-            self._memory.stuck.add((job.spec.account, shape))
+            self._cache.unclaimable.add((job.spec.account, shape))
         else:
-            self._memory.full[shape] = book.pool.freed
-        self._memory.retry_at = now + RETRY_REFUSED_S
+            self._cache.unplaceable[shape] = book.pool.freed
+        self._cache.retry_at = now + REFUSAL_RETRY_S
 
-    def _held(
+    def _place_reserved(
         self, book: jobs_book.JobBook, now: float
     ) -> abc.Iterator[steps_module.Step]:
-        """Places the jobs whose held slots have become free.
+        """Places the jobs whose reserved slots have become free.
 
-        A hold on a worker that gets no new tasks, as one that is leaving or
-        set aside, would wait for it: it is given up and planned anew.
+        A reservation on a worker that accepts no new tasks, because it is
+        leaving or in quarantine, could never be used; it is dropped and the
+        job is planned again.
         """
         for job in list(book.held.values()):
             if not job.hold:
                 continue
-            if not is_usable(book, job):
+            if not is_reservation_usable(book, job):
                 yield steps_module.Step(
                     jobs_messages.DropHold(job.job_id, now), "held-slots-lost"
                 )
-            elif is_free(book, job):
+            elif is_reservation_free(book, job):
                 yield steps_module.Step(
-                    steps_module.place(job, job.hold, now), "held-slots-free"
+                    steps_module.place_command(job, job.hold, now),
+                    "held-slots-free",
                 )
 
-    def _guaranteed(
+    def _claim_guaranteed(
         self, book: jobs_book.JobBook, policy: policies.Policy, now: float
     ) -> abc.Iterator[steps_module.Step]:
-        """Claims cells, account by account, in order of submission.
+        """Claims cells for guaranteed jobs, by account, in submission order.
 
-        A claim that does not fit its account's guarantee now lets smaller
-        ones past until it has waited for the gang bound.
+        If the oldest job does not fit into its account's unused guarantee,
+        smaller jobs of the account may overtake it (backfill) until it has
+        waited for the gang wait bound.
         """
         for account in book.queue.accounts(guaranteed=True):
-            line = book.queue.line(True, account)
-            while line is not None:
-                step = self._claim(book, line, account, policy, now)
+            account_queue = book.queue.line(True, account)
+            while account_queue is not None:
+                step = self._claim(book, account_queue, account, policy, now)
                 if step is None:
                     break
                 yield step
-                line = book.queue.line(True, account)
+                account_queue = book.queue.line(True, account)
 
     def _claim(
         self,
         book: jobs_book.JobBook,
-        line: jobs_queue.Line,
+        account_queue: jobs_queue.Line,
         account: str,
         policy: policies.Policy,
         now: float,
     ) -> steps_module.Step | None:
-        for shape, job_id in line.heads():
+        for shape, job_id in account_queue.heads():
             job = book.jobs[job_id]
             if job.hold:
                 continue
-            if (account, shape) not in self._memory.stuck:
+            if (account, shape) not in self._cache.unclaimable:
                 claim = claims.find_claim(book, job, now)
                 if claim is not None:
                     return claim_step(job, claim, policy, now)
-                self._memory.stuck.add((account, shape))
+                self._cache.unclaimable.add((account, shape))
             if now - job.submitted_at > policy.gang_wait_bound_s:
                 return None
         return None
@@ -193,77 +207,79 @@
     def _gangs(
         self, book: jobs_book.JobBook, policy: policies.Policy, now: float
     ) -> abc.Iterator[steps_module.Step]:
-        """Helps large borrowers that have waited long."""
+        """Makes reservations and preemptions for large gangs that starve."""
         yield from gang_help.steps(book, policy, now)
 
-    def _borrowers(
+    def _place_borrowers(
         self, book: jobs_book.JobBook, policy: policies.Policy, now: float
     ) -> abc.Iterator[steps_module.Step]:
-        """Places borrowing jobs, the account with the least share first.
+        """Places borrowing jobs, the account with the lowest share first.
 
-        Only shapes for which a place may be free are looked at, and each is
-        tried once in vain at most.
+        Only shapes without an entry in the negative cache are tried, and a
+        shape is dropped from the pass after its first failure.
         """
-        shapes = self._memory.untried(book.queue.borrowing_shapes())
+        shapes = self._cache.shapes_to_try(book.queue.borrowing_shapes())
         shares = [
-            (sharing.share_of(book, policy, account), account)
+            (sharing.dominant_share(book, policy, account), account)
             for account in book.queue.accounts(guaranteed=False)
         ]
         shares.sort()
         while shapes and shares:
             share, account = heapq.heappop(shares)
-            step = self._borrow(book, account, shapes, now)
+            step = self._place_next_borrower(book, account, shapes, now)
             if step is None:
                 continue
             yield step
-            share = sharing.share_of(book, policy, account)
+            share = sharing.dominant_share(book, policy, account)
             heapq.heappush(shares, (share, account))
 
-    def _borrow(
+    def _place_next_borrower(
         self,
         book: jobs_book.JobBook,
         account: str,
         shapes: set[jobs_queue.Shape],
         now: float,
     ) -> steps_module.Step | None:
-        """Returns the placement of an account's next job that fits.
+        """Returns the placement of an account's next job that fits, or None.
 
-        Shapes that turn out to have no place are taken out of `shapes`.
+        Removes from `shapes` those for which no free slots are found. A
+        failure of a job that avoids workers says nothing about its shape.
         """
-        line = book.queue.line(False, account)
-        if line is None:
+        account_queue = book.queue.line(False, account)
+        if account_queue is None:
             return None
-        for job in candidates(book, line, shapes):
+        for job in head_jobs(book, account_queue, shapes):
             shape = jobs_queue.shape_of(job)
             if shape not in shapes:
                 continue
             slots = fit.find_free(
-                book.pool, job.spec, steps_module.avoided(book, job)
+                book.pool, job.spec, steps_module.avoided_workers(book, job)
             )
             if slots is not None:
                 return steps_module.Step(
-                    steps_module.place(job, slots, now), "best-fit"
+                    steps_module.place_command(job, slots, now), "best-fit"
                 )
             if not job.failed_on:
                 shapes.discard(shape)
-                self._memory.full[shape] = book.pool.freed
+                self._cache.unplaceable[shape] = book.pool.freed
         return None
 
 
-def candidates(
+def head_jobs(
     book: jobs_book.JobBook,
-    line: jobs_queue.Line,
+    account_queue: jobs_queue.Line,
     shapes: abc.Set[jobs_queue.Shape],
 ) -> list[placements.Job]:
-    """Returns a line's first job of each of the shapes, the next one first.
+    """Returns the first queued job of each shape, in scheduling order.
 
-    Urgent jobs go first, then those submitted first. Declared run times
-    have no part in it: ordering by them did not pay, see the design note.
+    Urgent jobs precede others; within both, the order is that of submission.
+    Declared run times are ignored, because ordering by them gains nothing;
+    see the design note.
     """
     found = [
         book.jobs[job_id]
-        for shape in line.shapes & shapes
-        if (job_id := line.first(shape)) is not None
+        for shape in account_queue.shapes & shapes
+        if (job_id := account_queue.first(shape)) is not None
     ]
     found.sort(key=jobs_queue.order_of)
     return found
@@ -275,11 +291,11 @@
     policy: policies.Policy,
     now: float,
 ) -> steps_module.Step:
-    """Returns the placement, or the hold that stops those in the way."""
-    room = claim.room
-    if room.ready:
+    """Returns the placement, or the reservation that preempts the victims."""
+    plan = claim.plan
+    if plan.ready:
         place = jobs_messages.PlaceJob(
-            job.job_id, job.epoch + 1, room.slots, now, claim.bind
+            job.job_id, job.epoch + 1, plan.slots, now, claim.bind
         )
         return steps_module.Step(place, "guarantee-free")
     time_to_save = policy.checkpoint_timeout_s
@@ -289,9 +305,9 @@
         jobs_messages.HoldSlots(
             job.job_id,
             job.epoch,
-            room.slots,
+            plan.slots,
             claim.bind,
-            room.victims,
+            plan.victims,
             jobs_messages.StopReason.RECLAIMED,
             checkpoint_until=now + time_to_save,
             now=now,
@@ -300,14 +316,14 @@
     )
 
 
-def is_usable(book: jobs_book.JobBook, job: placements.Job) -> bool:
-    """Returns whether all workers of a job's held slots get new tasks."""
+def is_reservation_usable(book: jobs_book.JobBook, job: placements.Job) -> bool:
+    """Returns whether all workers of a job's reservation accept tasks."""
     workers = book.pool.workers
     return all(workers[slot.worker_id].usable for slot in job.hold)
 
 
-def is_free(book: jobs_book.JobBook, job: placements.Job) -> bool:
-    """Returns whether all held slots of a job can be taken now."""
+def is_reservation_free(book: jobs_book.JobBook, job: placements.Job) -> bool:
+    """Returns whether all reserved slots of a job are free."""
     counts: dict[str, int] = {}
     for slot in job.hold:
         worker = book.pool.workers[slot.worker_id]
--- a/laburnumsill/jobs/policy.py
+++ b/laburnumsill/jobs/policy.py
@@ -1,4 +1,4 @@
-"""What the configuration in force says of jobs, as the planner needs it."""
+"""The planner's policy, derived from the configuration in force."""
 
 import dataclasses
 from collections import abc
@@ -14,9 +14,10 @@
     Attributes:
         completion_weight: Weight of job completion time.
         fragmentation_weight: Weight of fragmentation.
-        gang_wait_bound_s: Wait after which slots are drained for a gang.
-        checkpoint_timeout_s: Time that a borrower has to save its work.
-        account_weights: Each account's part of what is shared.
+        gang_wait_bound_s: Wait after which slots are reserved for a gang.
+        checkpoint_timeout_s: Time that a preempted borrower has to save its
+            work.
+        account_weights: Weight of each account in fair sharing.
     """
 
     completion_weight: float = 0.5
@@ -28,10 +29,11 @@
     )
 
     @property
-    def move_patience_s(self) -> float:
-        """Wait after which small borrowers are moved together for a gang.
+    def defragmentation_wait_s(self) -> float:
+        """Wait after which small borrowers are preempted to defragment.
 
-        The more fragmentation counts against completion time the sooner.
+        It is a part of the gang wait bound, and the shorter the larger the
+        weight of fragmentation is compared with that of completion time.
         """
         total = self.completion_weight + self.fragmentation_weight
         if not total:
@@ -39,7 +41,7 @@
         return self.gang_wait_bound_s * self.completion_weight / total
 
     def weight(self, account: str) -> float:
-        """Returns an account's weight; 1 for one that is not configured."""
+        """Returns an account's weight, 1 if it is not configured."""
         return self.account_weights.get(account, 1.0)
 
 
@@ -61,20 +63,20 @@
 def guarantees_of(
     configuration: models.Configuration, domain: str
 ) -> dict[str, cells.Numbers]:
-    """Returns the cells that each account is owed in a domain."""
-    owed = {}
+    """Returns the guaranteed cells of each account in a domain."""
+    guarantees = {}
     for name, account in configuration.accounts.items():
         shape = account.guarantee.get(domain)
         if shape is not None:
-            owed[name] = numbers_of(shape)
-    return owed
+            guarantees[name] = cell_counts(shape)
+    return guarantees
 
 
-def numbers_of(shape: models.Shape) -> cells.Numbers:
-    """Returns a shape as numbers in the order of `cells.Level`.
+def cell_counts(shape: models.Shape) -> cells.Numbers:
+    """Returns the cell counts of a shape in the order of `cells.Level`.
 
     Examples:
-        >>> numbers_of(models.Shape(workers=2, pairs=1))
+        >>> cell_counts(models.Shape(workers=2, pairs=1))
         (0, 1, 2, 0)
     """
     return shape.accelerators, shape.pairs, shape.workers, shape.racks
--- a/laburnumsill/jobs/scheduler.py
+++ b/laburnumsill/jobs/scheduler.py
@@ -1,8 +1,7 @@
-"""The scheduler of one failure domain, active where its group is led.
+"""The scheduler of one failure domain, active on the leader of its group.
 
-All it decides is in the group before it is acted on; a new leader goes on
-where the old one was, from the placements that are preparing, running or
-stopping.
+Every decision is committed in the group before it is executed. A new leader
+therefore resumes from the placements that are preparing, running or stopping.
 """
 
 import typing
@@ -30,24 +29,24 @@
 from laburnumsill.jobs import watch
 from laburnumsill.state import jobs_messages
 
-TICK_S = 0.1
-"""Longest time between two passes of the planner, in seconds."""
+MAX_PASS_INTERVAL_S = 0.1
+"""Maximum interval between two passes of the planner, in seconds."""
 
-MIN_PASS_S = 0.005
-"""Shortest time between two passes, in seconds."""
+MIN_PASS_INTERVAL_S = 0.005
+"""Minimum interval between two passes of the planner, in seconds."""
 
-SYNC_S = 0.25
-"""Time between two comparisons with the view of members, in seconds."""
+SYNC_INTERVAL_S = 0.25
+"""Interval of reconciliation with members and configuration, in seconds."""
 
 FOLLOWER_TICK_S = 0.25
-"""Time between two looks at whether this VM leads, in seconds."""
+"""Interval at which a follower checks for leadership, in seconds."""
 
-STRANGER_TICK_S = 1.0
-"""The same on a VM without a replica of the group, which can not lead."""
+NO_REPLICA_TICK_S = 1.0
+"""Interval on a VM without a replica, which cannot lead, in seconds."""
 
 
 class DomainScheduler:
-    """Places, starts, watches and stops the jobs of one failure domain."""
+    """Places, starts, monitors and stops the jobs of one failure domain."""
 
     def __init__(
         self,
@@ -75,21 +74,21 @@
         """Schedules while this VM leads the domain's group, until cancelled."""
         task_status.started()
         while True:
-            if self._access.leads and self._current.get() is not None:
-                await self._lead()
+            if self._access.is_leader and self._current.get() is not None:
+                await self._run_term()
             hosted = self._access.machine is not None
-            await trio.sleep(FOLLOWER_TICK_S if hosted else STRANGER_TICK_S)
+            await trio.sleep(FOLLOWER_TICK_S if hosted else NO_REPLICA_TICK_S)
 
     def usage(self, worker_id: str, report: typing.Any) -> None:
-        """Takes in a worker's usage report, which lags behind."""
-        if self._access.leads:
-            self._overuse.note(worker_id, report)
+        """Records a worker's usage report, which may be out of date."""
+        if self._access.is_leader:
+            self._overuse.record_report(worker_id, report)
 
-    async def _lead(self) -> None:
-        """Schedules until the lead is lost or the term changes."""
+    async def _run_term(self) -> None:
+        """Schedules until leadership is lost or the term changes."""
         term = self._access.term
         logs.event("scheduler-leads", domain=self._access.domain, term=term)
-        lead = _Lead(
+        leader_term = _LeaderTerm(
             self._access,
             self._members,
             self._versioned,
@@ -100,18 +99,18 @@
         )
         async with trio.open_nursery() as nursery:
             scope = nursery.cancel_scope
-            nursery.start_soon(_while_leading, lead.watch.run, scope)
-            nursery.start_soon(_while_leading, lead.throttle, scope)
-            while self._access.leads and self._access.term == term:
+            nursery.start_soon(_while_leading, leader_term.monitor.run, scope)
+            nursery.start_soon(_while_leading, leader_term.limit_overuse, scope)
+            while self._access.is_leader and self._access.term == term:
                 self._observe()
                 self._wake = trio.Event()
                 try:
-                    await lead.step(nursery)
+                    await leader_term.step(nursery)
                 except access.NotLeadingError:
                     break
-                with trio.move_on_after(TICK_S):
+                with trio.move_on_after(MAX_PASS_INTERVAL_S):
                     await self._wake.wait()
-                await trio.sleep(MIN_PASS_S)
+                await trio.sleep(MIN_PASS_INTERVAL_S)
             nursery.cancel_scope.cancel()
         logs.event("scheduler-follows", domain=self._access.domain, term=term)
 
@@ -122,18 +121,18 @@
         return versioned
 
     def _observe(self) -> None:
-        """Wakes the planner with each change of the replica's jobs."""
+        """Registers for commands that the local replica applies."""
         machine = self._access.machine
         if machine is not None and machine is not self._observed:
             self._observed = machine
-            machine.observe(self._applied)
+            machine.observe(self._on_applied)
 
-    def _applied(self, command: object) -> None:
-        if type(command) in _WAKING:
+    def _on_applied(self, command: object) -> None:
+        if type(command) in _WAKING_COMMANDS:
             self._wake.set()
 
 
-_WAKING = frozenset(
+_WAKING_COMMANDS = frozenset(
     {
         jobs_messages.SubmitJob,
         jobs_messages.CancelJob,
@@ -144,21 +143,21 @@
         jobs_messages.HoldSlots,
     }
 )
-"""Commands after which the planner may have something to do."""
+"""Commands after which the planner may find a new step."""
 
 
 async def _while_leading(
     task: abc.Callable[[], abc.Awaitable[None]], scope: trio.CancelScope
 ) -> None:
-    """Runs a task; if it finds that the lead is lost, all that leads ends."""
+    """Runs a task and cancels the scope if leadership turns out to be lost."""
     try:
         await task()
     except* access.NotLeadingError:
         scope.cancel()
 
 
-class _Lead:
-    """What a scheduler does and knows while it leads."""
+class _LeaderTerm:
+    """The components and state of a scheduler for one term as leader."""
 
     def __init__(
         self,
@@ -180,7 +179,7 @@
         self._driver = gangs.GangDriver(
             domain, granter, client, clock, metrics, self._limits
         )
-        self.watch = watch.Watch(
+        self.monitor = watch.PlacementMonitor(
             domain,
             granter,
             self._driver,
@@ -190,41 +189,44 @@
             self._limits,
         )
         self._sync = membership.WorkerSync(
-            domain.domain, members, clock, self.watch.contacts
+            domain.domain, members, clock, self.monitor.contacts
         )
-        self._sync_due = 0.0
+        self._next_sync_at = 0.0
         self._planner = planner.Planner()
-        self._driven: set[tuple[str, int, bool]] = set()
+        self._driving: set[tuple[str, int, bool]] = set()
 
     async def step(self, nursery: trio.Nursery) -> None:
-        """Takes in changes, plans once, and drives what is unsettled."""
-        if self._clock.monotonic() >= self._sync_due:
-            await self._take_in_changes()
-            self._sync_due = self._clock.monotonic() + SYNC_S
-        self._drive(nursery)
+        """Reconciles if due, starts drivers of placements, and plans once."""
+        if self._clock.monotonic() >= self._next_sync_at:
+            await self._reconcile()
+            self._next_sync_at = self._clock.monotonic() + SYNC_INTERVAL_S
+        self._start_drivers(nursery)
         await self._plan(nursery)
 
-    async def throttle(self) -> None:
-        """Acts on what the usage reports say, again and again."""
+    async def limit_overuse(self) -> None:
+        """Periodically throttles or stops tasks that use too much."""
         while True:
-            await trio.sleep(overuse.INTERVAL_S)
-            for action in self._overuse.actions(self._domain.ledger.book):
-                await overuse.carry_out(
-                    action,
+            await trio.sleep(overuse.CHECK_INTERVAL_S)
+            for enforcement in self._overuse.enforcements(
+                self._domain.ledger.book
+            ):
+                await overuse.enforce(
+                    enforcement,
                     self._driver,
                     self._clock,
                     self._versioned().configuration.jobs.checkpoint_timeout_s,
                 )
 
-    def _limits(self) -> gangs.Limits:
+    def _limits(self) -> gangs.GangLimits:
         policy = self._versioned().configuration.jobs
-        return gangs.Limits(
+        return gangs.GangLimits(
             policy.lease_s, policy.max_tries, policy.bad_worker_jobs
         )
 
-    async def _take_in_changes(self) -> None:
+    async def _reconcile(self) -> None:
+        """Commits changes of guarantees and workers, and ends quarantines."""
         ledger = self._domain.ledger
-        await self._take_in_guarantees()
+        await self._update_guarantees()
         command = self._sync.changes(ledger)
         if command is not None:
             logs.event(
@@ -241,21 +243,21 @@
                     jobs_messages.ReturnWorker(worker_id, now)
                 )
                 logs.decision("worker-probed", worker=worker_id)
-        decisions.gauges(self._metrics, self._domain.domain, ledger.book)
+        decisions.set_gauges(self._metrics, self._domain.domain, ledger.book)
 
-    async def _take_in_guarantees(self) -> None:
+    async def _update_guarantees(self) -> None:
         """Commits the guarantees of a newer configuration."""
         versioned = self._versioned()
         ledger = self._domain.ledger
-        owed = policies.guarantees_of(
+        desired = policies.guarantees_of(
             versioned.configuration, self._domain.domain
         )
         if versioned.version <= ledger.guarantees_version:
             return
-        if owed == ledger.book.cells.guarantees:
+        if desired == ledger.book.cells.guarantees:
             return
         await self._domain.propose(
-            jobs_messages.SetGuarantees(versioned.version, owed)
+            jobs_messages.SetGuarantees(versioned.version, desired)
         )
         shortfall = ledger.book.cells.shortfall()
         logs.event(
@@ -266,7 +268,7 @@
         )
 
     async def _plan(self, nursery: trio.Nursery) -> None:
-        """Carries out one pass of the planner."""
+        """Runs one pass of the planner and commits its steps."""
         book = self._domain.ledger.book
         policy = policies.policy_of(self._versioned().configuration)
         began = self._clock.monotonic()
@@ -276,16 +278,16 @@
             try:
                 await self._domain.propose(step.command)
             except errors.ConflictError as error:
-                await self._refused(step, error)
+                await self._handle_refusal(step, error)
                 return
-            decisions.note(self._metrics, book, step, self._clock.wall())
-            self._drive(nursery)
+            decisions.record_step(self._metrics, book, step, self._clock.wall())
+            self._start_drivers(nursery)
             began = self._clock.monotonic()
 
-    async def _refused(
+    async def _handle_refusal(
         self, step: steps.Step, error: errors.ConflictError
     ) -> None:
-        """Gives up a step that does not fit the state any more."""
+        """Records a refused step and drops the reservation of its job."""
         job_id = getattr(step.command, "job_id", "")
         logs.event(
             "step-refused",
@@ -295,25 +297,25 @@
             detail=error.detail,
         )
         book = self._domain.ledger.book
-        self._planner.refused(book, step.command, self._clock.wall())
+        self._planner.record_refusal(book, step.command, self._clock.wall())
         if job_id in book.held:
             await self._domain.propose(
                 jobs_messages.DropHold(job_id, self._clock.wall())
             )
 
-    def _drive(self, nursery: trio.Nursery) -> None:
-        """Starts what is preparing and stops what is stopping, once each."""
+    def _start_drivers(self, nursery: trio.Nursery) -> None:
+        """Starts a driver for each placement that is preparing or stopping."""
         for job in list(self._domain.ledger.book.unsettled.values()):
             placement = job.placement
             if placement is None:
                 continue
             stopping = placement.stopping is not None
             key = (job.job_id, placement.epoch, stopping)
-            if key not in self._driven:
-                self._driven.add(key)
-                nursery.start_soon(self._driven_step, key)
+            if key not in self._driving:
+                self._driving.add(key)
+                nursery.start_soon(self._drive_placement, key)
 
-    async def _driven_step(self, key: tuple[str, int, bool]) -> None:
+    async def _drive_placement(self, key: tuple[str, int, bool]) -> None:
         job_id, epoch, stopping = key
         try:
             if stopping:
@@ -326,4 +328,4 @@
             logs.event(
                 "driver-failed", level="ERROR", job=job_id, detail=error.detail
             )
-        self._driven.discard(key)
+        self._driving.discard(key)
--- a/laburnumsill/jobs/service.py
+++ b/laburnumsill/jobs/service.py
@@ -1,4 +1,4 @@
-"""What callers can do with jobs: submit, read, list and cancel."""
+"""Submission, lookup, listing and cancellation of jobs."""
 
 import typing
 from collections import abc
@@ -21,19 +21,22 @@
 from laburnumsill.state import jobs_messages
 
 SUFFIX_LENGTH = 20
-"""Hex digits of a job id after its domain."""
+"""Number of hex digits in a job id after its domain."""
 
-USE_AGE_S = 0.5
-"""How old, in seconds, what is known of a domain's use may be."""
+MAX_USAGE_AGE_S = 0.5
+"""Maximum staleness of the cached usage of domains, in seconds."""
 
-USE_TIMEOUT_S = 1.0
-"""Time that a domain has to tell its use before it is left out."""
+DOMAIN_QUERY_TIMEOUT_S = 1.0
+"""Timeout of a query to all domains, in seconds.
 
-CALL_TIMEOUT_S = 5.0
-"""Time for a call without a deadline of its own, in seconds."""
+Domains that have not answered by then are left out.
+"""
+
+DEFAULT_TIMEOUT_S = 5.0
+"""Timeout of calls without a deadline argument, in seconds."""
 
 CANCEL_WAIT_S = 3.0
-"""How long a cancellation waits for the job's tasks to stop, in seconds."""
+"""Maximum time a cancellation waits for tasks to stop, in seconds."""
 
 RETRY_PAUSE_S = 0.05
 
@@ -42,56 +45,59 @@
 
 
 class JobService:
-    """Takes jobs in on any VM and finds them again by their id.
+    """Accepts jobs on any VM and finds them by their id.
 
-    A submission's key leads to a directory domain, whose group records the
-    home that was chosen; the job's id follows from home and key. A caller
-    whose answer was lost sends the same again and gets the same job.
+    The idempotency key of a submission determines a directory domain, whose
+    group records the home domain chosen for the job. The job id is derived
+    from home and key, so a caller that retries a submission gets the same
+    job.
     """
 
     def __init__(
         self,
-        me: topology.Vm,
+        local_vm: topology.Vm,
         groups: replication.Groups,
         members: members_module.MemberView,
         current: current_module.Current,
         clock: clocks.Clock,
         metrics: metrics_module.Metrics,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._groups = groups
         self._members = members
         self._current = current
         self._clock = clock
         self._metrics = metrics
-        self._uses: dict[str, jobs_messages.DomainUse | None] = {}
-        self._uses_until = 0.0
+        self._domain_usage: dict[str, jobs_messages.DomainUse | None] = {}
+        self._usage_valid_until = 0.0
 
     def deadline(self, seconds: float) -> float:
-        """Returns the monotonic point so many seconds from now."""
+        """Returns the monotonic deadline for a timeout in seconds."""
         return self._clock.monotonic() + seconds
 
     async def submit(self, spec: JobSpec, key: str, deadline: float) -> JobView:
-        """Takes a job in; the same key again returns the same job.
+        """Accepts a job; the same key always returns the same job.
 
         Args:
             spec: The job.
-            key: Chosen by the caller, unique within its account.
-            deadline: Monotonic point.
+            key: Idempotency key of the caller, unique within its account.
+            deadline: Monotonic time.
 
         Raises:
-            errors.KeyReusedError: The key came with another job before.
+            errors.KeyReusedError: The key was used for a different job.
             errors.JobImpossibleError: The job can never run.
-            errors.UnavailableError: Nothing was taken in; try again.
-            errors.OutcomeUnknownError: It may have been taken in; the same
-                key again tells.
+            errors.UnavailableError: The job was not accepted; retry.
+            errors.OutcomeUnknownError: The job may have been accepted; a
+                retry with the same key resolves this.
         """
         configuration = self._configuration()
         admission.account_of(configuration, spec)
-        scoped = f"{spec.account}/{key}"
+        scoped_key = f"{spec.account}/{key}"
         digest = hashing.digest(codec.encode(spec))
-        home = await self._home(configuration, spec, scoped, digest, deadline)
-        suffix = hashing.digest(scoped.encode())[:SUFFIX_LENGTH]
+        home = await self._recorded_home(
+            configuration, spec, scoped_key, digest, deadline
+        )
+        suffix = hashing.digest(scoped_key.encode())[:SUFFIX_LENGTH]
         account = configuration.accounts[spec.account]
         view: JobView = await self._propose(
             home,
@@ -108,7 +114,7 @@
         return view
 
     async def get(self, job_id: str) -> JobView:
-        """Returns a job as its home domain knows it now.
+        """Returns the current state of a job from its home domain.
 
         Raises:
             errors.NotFoundError: There is no such job.
@@ -118,7 +124,7 @@
         view: JobView = await self._groups.query(
             ids.domain_group(home),
             jobs_messages.GetJob(job_id),
-            self.deadline(CALL_TIMEOUT_S),
+            self.deadline(DEFAULT_TIMEOUT_S),
         )
         return view
 
@@ -131,14 +137,14 @@
         """Returns the newest jobs of all domains that answer.
 
         Args:
-            account: Only this account's, or None for all.
-            state: Only those in this state, or None for all.
-            limit: The most to return.
+            account: Account to filter by, or None for all.
+            state: State to filter by, or None for all.
+            limit: Maximum number of jobs to return.
         """
         query = jobs_messages.ListJobs(account, state, limit)
         found: list[JobView] = []
         silent: list[str] = []
-        for domain, listing in (await self._ask_all(query)).items():
+        for domain, listing in (await self._query_domains(query)).items():
             if listing is None:
                 silent.append(domain)
             else:
@@ -149,21 +155,21 @@
         )
 
     async def cancel(self, job_id: str) -> JobView:
-        """Cancels a job and waits a while for its tasks to stop.
+        """Cancels a job and waits up to `CANCEL_WAIT_S` for its tasks to stop.
 
-        CANCELLED in the answer says that none of it runs or ever will.
-        CANCELLING says that the cancellation is committed and that its tasks
-        are still being stopped.
+        CANCELLED in the result means that no task of the job runs or will
+        ever run. CANCELLING means that the cancellation is committed and the
+        tasks are still being stopped.
 
         Raises:
             errors.NotFoundError: There is no such job.
-            errors.UnavailableError: Nothing was changed.
-            errors.OutcomeUnknownError: It may have been cancelled.
+            errors.UnavailableError: The job was not cancelled.
+            errors.OutcomeUnknownError: The job may have been cancelled.
         """
         view: JobView = await self._propose(
             self._home_of(job_id),
             jobs_messages.CancelJob(job_id, self._clock.wall()),
-            self.deadline(CALL_TIMEOUT_S),
+            self.deadline(DEFAULT_TIMEOUT_S),
         )
         self._metrics.count("jobs_cancelled_total", account=view.account)
         deadline = self.deadline(CANCEL_WAIT_S)
@@ -172,12 +178,12 @@
             and self._clock.monotonic() < deadline
         ):
             await trio.sleep(RETRY_PAUSE_S)
-            view = await self._settled(view)
+            view = await self._refreshed(view)
         logs.event("job-cancelled", job=job_id, state=view.state)
         return view
 
-    async def _settled(self, view: JobView) -> JobView:
-        """Returns a newer view of a job, or the same if there is none."""
+    async def _refreshed(self, view: JobView) -> JobView:
+        """Returns the current view of a job, or `view` if the query fails."""
         try:
             return await self.get(view.job_id)
         except (errors.UnavailableError, errors.OutcomeUnknownError):
@@ -195,7 +201,7 @@
             raise errors.NotFoundError(f"no job {job_id!r}", job=job_id)
         return home
 
-    async def _home(
+    async def _recorded_home(
         self,
         configuration: models.Configuration,
         spec: JobSpec,
@@ -203,14 +209,14 @@
         digest: str,
         deadline: float,
     ) -> str:
-        """Returns the home recorded for a key, choosing one if there is none.
+        """Returns the home recorded for a key, after recording one if needed.
 
-        What was taken in before stays taken in, even if it would be refused
-        now.
+        A job that was accepted earlier stays accepted, even if admission
+        would refuse it now.
         """
         directory = hashing.rendezvous(key, configuration.domains)
         try:
-            chosen = await self._choose(configuration, spec)
+            chosen = await self._choose_home(configuration, spec)
         except errors.LaburnumsillError as refusal:
             known: jobs_messages.Home = await self._groups.query(
                 ids.domain_group(directory),
@@ -219,7 +225,7 @@
             )
             if known.domain:
                 return known.domain
-            self._refused(spec, refusal)
+            self._record_refusal(spec, refusal)
             raise refusal
         home: jobs_messages.Home = await self._propose(
             directory,
@@ -236,7 +242,7 @@
         )
         return home.domain
 
-    def _refused(
+    def _record_refusal(
         self, spec: JobSpec, refusal: errors.LaburnumsillError
     ) -> None:
         logs.decision(
@@ -249,29 +255,33 @@
         )
         self._metrics.count("jobs_refused_total", why=refusal.slug)
 
-    async def _choose(
+    async def _choose_home(
         self, configuration: models.Configuration, spec: JobSpec
     ) -> str:
         domains = admission.possible_domains(configuration, self._members, spec)
         if len(domains) == 1:
             return domains[0]
-        await self._refresh_uses()
+        await self._refresh_usage()
         home = admission.choose_home(
-            [admission.Candidate(d, self._uses.get(d)) for d in domains], spec
+            [
+                admission.CandidateDomain(d, self._domain_usage.get(d))
+                for d in domains
+            ],
+            spec,
         )
-        self._count_in(home, spec)
+        self._add_to_usage(home, spec)
         return home
 
-    async def _refresh_uses(self) -> None:
-        """Asks all domains for their use, unless that is known."""
-        if self._clock.monotonic() < self._uses_until:
+    async def _refresh_usage(self) -> None:
+        """Queries the usage of all domains unless the cached one is valid."""
+        if self._clock.monotonic() < self._usage_valid_until:
             return
-        self._uses_until = self.deadline(USE_AGE_S)
-        self._uses = await self._ask_all(jobs_messages.GetUse())
+        self._usage_valid_until = self.deadline(MAX_USAGE_AGE_S)
+        self._domain_usage = await self._query_domains(jobs_messages.GetUse())
 
-    def _count_in(self, home: str, spec: JobSpec) -> None:
-        """Adds a job to the known use, so that a burst is spread."""
-        use = self._uses.get(home)
+    def _add_to_usage(self, home: str, spec: JobSpec) -> None:
+        """Adds a job to the cached usage, so that bursts are spread."""
+        use = self._domain_usage.get(home)
         if use is None:
             return
         accounts = dict(use.accounts)
@@ -281,7 +291,7 @@
                 guaranteed=own.guaranteed + spec.total_accelerators,
                 queued=own.queued,
             )
-        self._uses[home] = jobs_messages.DomainUse(
+        self._domain_usage[home] = jobs_messages.DomainUse(
             accelerators=use.accelerators,
             free_accelerators=use.free_accelerators,
             free_cores=use.free_cores,
@@ -292,12 +302,12 @@
             accounts=accounts,
         )
 
-    async def _ask_all(self, query: object) -> dict[str, typing.Any]:
-        """Returns each domain's answer, None for one that gives none."""
+    async def _query_domains(self, query: object) -> dict[str, typing.Any]:
+        """Returns the answer of each domain, None for those without one."""
         answers: dict[str, typing.Any] = {}
-        deadline = self.deadline(USE_TIMEOUT_S)
+        deadline = self.deadline(DOMAIN_QUERY_TIMEOUT_S)
 
-        async def ask(domain: str) -> None:
+        async def query_domain(domain: str) -> None:
             answers[domain] = None
             try:
                 answers[domain] = await self._groups.query(
@@ -308,13 +318,13 @@
 
         async with trio.open_nursery() as nursery:
             for domain in self._configuration().domains:
-                nursery.start_soon(ask, domain)
+                nursery.start_soon(query_domain, domain)
         return answers
 
     async def _propose(
         self, domain: str, command: object, deadline: float
     ) -> typing.Any:
-        """Commits an idempotent command, again while its fate is unknown."""
+        """Commits an idempotent command, with retries until the deadline."""
         return await retried(
             lambda: self._groups.propose(
                 ids.domain_group(domain), command, deadline
@@ -329,12 +339,12 @@
     clock: clocks.Clock,
     deadline: float,
 ) -> typing.Any:
-    """Repeats a call whose outcome was lost, up to the deadline.
+    """Retries an idempotent call that failed, until the deadline.
 
     Raises:
-        errors.OutcomeUnknownError: The last outcome was lost too.
-        errors.UnavailableError: The first attempt was certainly not carried
-            out and no time is left.
+        errors.OutcomeUnknownError: No attempt succeeded, and the outcome of
+            at least one is unknown.
+        errors.UnavailableError: No attempt was executed.
     """
     lost: errors.OutcomeUnknownError | None = None
     while True:
--- a/laburnumsill/jobs/sharing.py
+++ b/laburnumsill/jobs/sharing.py
@@ -1,15 +1,16 @@
-"""Sharing what is borrowed among the accounts."""
+"""Fair sharing of borrowed capacity among the accounts."""
 
 from laburnumsill.jobs import policy as policies
 from laburnumsill.state import jobs_book
 
 
-def share_of(
+def dominant_share(
     book: jobs_book.JobBook, policy: policies.Policy, account: str
 ) -> float:
-    """Returns how much an account borrows, relative to its weight.
+    """Returns the dominant share of an account, divided by its weight.
 
-    It is the larger of its parts of the domain's accelerators and cores.
+    The dominant share is the larger of the fractions of the domain's
+    accelerators and cores that the account borrows.
 
     References:
         A. Ghodsi et al., "Dominant Resource Fairness", NSDI 2011.
--- a/laburnumsill/jobs/steps.py
+++ b/laburnumsill/jobs/steps.py
@@ -1,4 +1,4 @@
-"""The steps that the planner's parts yield."""
+"""The steps that a planner pass yields, and helpers to build them."""
 
 import dataclasses
 from collections import abc
@@ -18,23 +18,23 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """A command to propose, and why, for the log of decisions."""
+    """A command to propose, and the reason for the decision log."""
 
     command: Command
     why: str
 
 
-def place(
+def place_command(
     job: placements.Job, slots: fit.Slots, now: float
 ) -> jobs_messages.PlaceJob:
-    """Returns the placement of a job under its next epoch."""
+    """Returns the command that places a job under its next epoch."""
     return jobs_messages.PlaceJob(job.job_id, job.epoch + 1, slots, now)
 
 
-def avoided(
+def avoided_workers(
     book: jobs_book.JobBook, job: placements.Job
 ) -> abc.Collection[str]:
-    """Returns the workers that a job failed on, unless it needs them."""
+    """Returns the workers on which a job failed, unless it needs them."""
     if not job.failed_on:
         return ()
     failed = set(job.failed_on)
--- a/laburnumsill/jobs/tests/fakes.py
+++ b/laburnumsill/jobs/tests/fakes.py
@@ -1,4 +1,4 @@
-"""A domain with its scheduler over workers in this process."""
+"""Domains with their schedulers and fake workers, in one process."""
 
 import collections
 import contextlib
@@ -28,20 +28,22 @@
 Action = worker_client.Action
 
 
-class Table(worker_client.WorkerClient):
-    """Workers as task tables; each call can be made to fail.
+class FakeWorkers(worker_client.WorkerClient):
+    """Client of in-process workers, with fault injection.
 
     Attributes:
-        dead: Addresses that never answer.
-        refusing: Address to actions that are refused.
-        deaf: Address to actions that are carried out without an answer.
-        calls: Number of calls by action.
+        unreachable: Addresses that never answer.
+        refusing: Actions refused, by address.
+        losing_answers: Actions executed without an answer, by address.
+        calls: Number of calls, by action.
+        history: Start and end of tasks: wall time, event, job, epoch, task.
+        tables: Task table of each worker, by address.
     """
 
     def __init__(self, clock):
-        self.dead = set()
+        self.unreachable = set()
         self.refusing = collections.defaultdict(set)
-        self.deaf = collections.defaultdict(set)
+        self.losing_answers = collections.defaultdict(set)
         self.calls = collections.Counter()
         self.history = []
         self.tables = {}
@@ -93,9 +95,11 @@
     async def _call(self, address, action, call):
         self.calls[action] += 1
         await trio.sleep(0.001)
-        if address in self.dead:
+        if address in self.unreachable:
             await trio.sleep(0.05)
-            raise worker_client.WorkerUnreachableError(f"{address} is dead")
+            raise worker_client.WorkerUnreachableError(
+                f"{address} is unreachable"
+            )
         if action in self.refusing[address]:
             raise worker_client.WorkerRefusedError(f"{action} refused")
         try:
@@ -106,14 +110,14 @@
             ) from error
         except errors.ConflictError as error:
             raise worker_client.WorkerRefusedError(error.detail) from error
-        if action in self.deaf[address]:
+        if action in self.losing_answers[address]:
             raise worker_client.WorkerUnreachableError("answer lost")
         return worker_client.TaskReport(**document)
 
 
 @dataclasses.dataclass
-class View(members.MemberView):
-    """Members as a plain list."""
+class FakeMembers(members.MemberView):
+    """A member view backed by a list of workers."""
 
     present: list = dataclasses.field(default_factory=list)
 
@@ -143,13 +147,13 @@
 
 
 class Domain:
-    """Ledgers, workers, a service and the schedulers, in one process."""
+    """Ledgers, workers, a job service and schedulers of all domains."""
 
     def __init__(self, workers, config=None):
         config = config or configuration()
         self.clock = clocks.SystemClock()
-        self.client = Table(self.clock)
-        self.view = View(list(workers))
+        self.client = FakeWorkers(self.clock)
+        self.view = FakeMembers(list(workers))
         for one in workers:
             self.client.add(one.address, one.accelerators)
         self.ledgers = {name: jobs.JobLedger(name) for name in config.domains}
@@ -211,7 +215,7 @@
                 if view.state in states:
                     return view
                 await trio.sleep(0.01)
-        raise AssertionError(f"{view} never was {states}")
+        raise AssertionError(f"{view} did not reach any of {states}")
 
     def live_tasks(self, job_id) -> abc.Iterable[worker_tasks.Task]:
         return [
@@ -222,7 +226,7 @@
         ]
 
     async def has_live(self, job_id, count, seconds=5):
-        """Waits until so many tasks of a job are live."""
+        """Waits until `count` tasks of a job are live and returns them."""
         for _ in range(seconds * 100):
             found = self.live_tasks(job_id)
             if len(found) == count:
--- a/laburnumsill/jobs/tests/test_planner.py
+++ b/laburnumsill/jobs/tests/test_planner.py
@@ -15,7 +15,7 @@
 
 
 class Domain:
-    """A ledger with racks of workers of eight accelerators, and a planner."""
+    """A planner and a ledger; each worker has eight accelerators."""
 
     def __init__(self, racks=1, workers=2):
         self.ledger = jobs.JobLedger("north")
@@ -44,7 +44,7 @@
         self.apply(messages.SubmitJob(job_id, "", spec, 999, self.now))
 
     def plan(self):
-        """Carries out one pass; returns why each step was taken."""
+        """Runs one pass and returns the reason of each step."""
         taken = []
         for step in self.planner.steps(self.book, POLICY, self.now):
             self.apply(step.command)
@@ -71,7 +71,7 @@
         return {slot.worker_id for slot in self.book.jobs[job_id].slots}
 
 
-def test_small_jobs_leave_whole_workers_whole():
+def test_small_jobs_fill_partly_used_workers_first():
     domain = Domain(racks=2)
     for number in range(8):
         domain.submit(f"s{number}", ONE)
@@ -83,7 +83,7 @@
     assert rack != next(iter(domain.workers_of("s0")))[:2]
 
 
-def test_accounts_borrow_in_turn():
+def test_accounts_share_borrowed_capacity_equally():
     domain = Domain(workers=1)
     for number in range(8):
         domain.submit(f"t{number}", ONE)
@@ -93,7 +93,7 @@
     assert running == [f"{a}{n}" for a in "ft" for n in range(4)]
 
 
-def test_a_gang_that_waits_has_small_ones_moved_out_of_its_way():
+def test_small_borrowers_are_preempted_to_defragment_for_a_gang():
     domain = Domain(workers=3)
     for number in range(24):
         domain.submit(f"s{number}", ONE)
@@ -110,7 +110,7 @@
     assert len(domain.book.live) == 9
 
 
-def test_a_gang_that_never_fits_gets_slots_drained():
+def test_slots_are_reserved_for_a_gang_that_does_not_fit():
     domain = Domain()
     for number in range(16):
         domain.submit(f"s{number}", ONE)
@@ -130,14 +130,14 @@
     assert set(domain.plan()) == {"best-fit"}
 
 
-def test_a_refused_step_does_not_hold_up_the_others():
+def test_a_refused_step_does_not_block_other_shapes():
     domain = Domain(workers=1)
     domain.submit("a", ONE)
     step = next(domain.planner.steps(domain.book, POLICY, domain.now))
     stale = dataclasses.replace(step.command, epoch=7)
     with pytest.raises(errors.ConflictError):
         domain.apply(stale)
-    domain.planner.refused(domain.book, stale, domain.now)
+    domain.planner.record_refusal(domain.book, stale, domain.now)
     assert domain.plan() == []
     domain.submit("b", dataclasses.replace(ONE, cores=2))
     assert domain.plan() == ["best-fit"]
@@ -147,10 +147,10 @@
 
 @pytest.mark.parametrize("guaranteed", [False, True])
 def test_a_job_cancelled_before_its_placement_holds_up_no_other(guaranteed):
-    """Seen in CI: the cancellation came before the placement in the log.
+    """A cancellation before the placement in the log blocks no other job.
 
-    Nothing ran, so nothing could become free, and the waiting jobs of the
-    same shape stayed where they were for ever.
+    With no job running, no capacity can become free. If the refusal were
+    recorded for the shape, queued jobs of the same shape would starve.
     """
     domain = Domain(workers=1)
     spec = dataclasses.replace(ONE, guaranteed=guaranteed)
@@ -163,16 +163,16 @@
     domain.apply(messages.CancelJob("a", domain.now))
     with pytest.raises(errors.ConflictError):
         domain.apply(step.command)
-    domain.planner.refused(domain.book, step.command, domain.now)
+    domain.planner.record_refusal(domain.book, step.command, domain.now)
     assert len(domain.plan()) == 1
     assert domain.workers_of("b")
 
 
-def test_a_refused_step_is_tried_again_though_nothing_became_free():
+def test_a_refused_step_is_retried_after_a_delay():
     domain = Domain(workers=1)
     domain.submit("a", ONE)
     step = next(domain.planner.steps(domain.book, POLICY, domain.now))
-    domain.planner.refused(domain.book, step.command, domain.now)
+    domain.planner.record_refusal(domain.book, step.command, domain.now)
     assert domain.plan() == []
-    domain.now += planner.RETRY_REFUSED_S
+    domain.now += planner.REFUSAL_RETRY_S
     assert domain.plan() == ["best-fit"]
--- a/laburnumsill/jobs/tests/test_planner_machine.py
+++ b/laburnumsill/jobs/tests/test_planner_machine.py
@@ -1,4 +1,4 @@
-"""The planner and the ledger under random events, checked after each."""
+"""Stateful test of the planner and the ledger under random commands."""
 
 import dataclasses
 
@@ -25,7 +25,7 @@
 numbers = strategies.integers(0, 10**6)
 
 
-def owed(number, pairs, whole, racks):
+def guarantees(number, pairs, whole, racks):
     return strategies.tuples(
         strategies.integers(0, number),
         strategies.integers(0, pairs),
@@ -50,26 +50,28 @@
     def book(self):
         return self.ledger.book
 
-    def do(self, command):
-        """Applies a command as a group does, encoded."""
+    def apply(self, command):
+        """Applies a command after encoding and decoding it, as a group does."""
         command = codec.decode(codec.encode(command))
         return self.ledger.commands()[type(command)](command)
 
-    def pick(self, items, number):
+    def choose(self, items, number):
         items = sorted(items)
         return items[number % len(items)] if items else None
 
-    @stateful.initialize(tana=owed(2, 2, 1, 1), fingal=owed(3, 1, 1, 0))
+    @stateful.initialize(
+        tana=guarantees(2, 2, 1, 1), fingal=guarantees(3, 1, 1, 0)
+    )
     def begin(self, tana, fingal):
         present = [ledger_checks.worker(name, name[:2]) for name in NAMES]
-        self.do(messages.PutWorkers(tuple(present), (), self.now))
+        self.apply(messages.PutWorkers(tuple(present), (), self.now))
         self.guarantee(tana, fingal)
         self.wait(1.0)
 
-    @stateful.rule(tana=owed(2, 2, 1, 1), fingal=owed(3, 1, 1, 0))
+    @stateful.rule(tana=guarantees(2, 2, 1, 1), fingal=guarantees(3, 1, 1, 0))
     def guarantee(self, tana, fingal):
         self.version += 1
-        self.do(
+        self.apply(
             messages.SetGuarantees(
                 self.version, {"tana": tana, "fingal": fingal}
             )
@@ -91,29 +93,29 @@
         spec = messages.JobSpec(memory_gb=1, **fields)
         job_id = f"north.{len(self.jobs)}"
         command = messages.SubmitJob(job_id, "d", spec, 1000, self.now)
-        first = self.do(command)
-        assert self.do(command) == first
+        first = self.apply(command)
+        assert self.apply(command) == first
         self.jobs[job_id] = spec
 
     @stateful.rule(steps=strategies.integers(1, 8))
     def plan(self, steps):
         found = self.planner.steps(self.book, POLICY, self.now)
         for _, step in zip(range(steps), found, strict=False):
-            self.do(step.command)
+            self.apply(step.command)
             ledger_checks.check(self.ledger)
 
     @stateful.rule(
         number=numbers, place=numbers, mask=strategies.integers(0, 15)
     )
     def place_anywhere(self, number, place, mask):
-        """A placement is refused unless its slots are free for it."""
+        """A placement is refused unless its slots are available to the job."""
         waiting = [
             name
             for name, job in self.book.jobs.items()
             if job.state == messages.JobState.QUEUED and job.spec.tasks == 1
         ]
-        job_id = self.pick(waiting, number)
-        name = self.pick(self.book.pool.workers, place)
+        job_id = self.choose(waiting, number)
+        name = self.choose(self.book.pool.workers, place)
         if job_id is None or name is None:
             return
         job = self.book.jobs[job_id]
@@ -124,7 +126,9 @@
         usable = worker.usable
         slots = (messages.Slot(name, mask),)
         try:
-            self.do(messages.PlaceJob(job_id, job.epoch + 1, slots, self.now))
+            self.apply(
+                messages.PlaceJob(job_id, job.epoch + 1, slots, self.now)
+            )
         except errors.ConflictError:
             return
         assert usable
@@ -132,10 +136,10 @@
 
     @stateful.rule(number=numbers)
     def start(self, number):
-        job_id = self.pick(self.preparing(), number)
+        job_id = self.choose(self.preparing(), number)
         if job_id:
             job = self.book.jobs[job_id]
-            self.do(messages.JobStarted(job_id, job.epoch, self.now))
+            self.apply(messages.JobStarted(job_id, job.epoch, self.now))
 
     def preparing(self):
         return [
@@ -145,16 +149,16 @@
         ]
 
     @stateful.rule(number=numbers)
-    def start_what_was_stopped(self, number):
-        job_id = self.pick(self.stopping(), number)
+    def start_stopping_job(self, number):
+        job_id = self.choose(self.stopping(), number)
         if job_id is None:
             return
         job = self.book.jobs[job_id]
         try:
-            self.do(messages.JobStarted(job_id, job.epoch, self.now))
+            self.apply(messages.JobStarted(job_id, job.epoch, self.now))
         except errors.ConflictError:
             return
-        raise AssertionError(f"{job} was started while it is stopped")
+        raise AssertionError(f"{job} was started while it is stopping")
 
     @stateful.rule(number=numbers)
     def succeed(self, number):
@@ -163,16 +167,16 @@
             for name, job in self.book.live.items()
             if job.state == messages.JobState.RUNNING
         ]
-        job_id = self.pick(running, number)
+        job_id = self.choose(running, number)
         if job_id:
             epoch = self.book.jobs[job_id].epoch
-            self.do(messages.JobSucceeded(job_id, epoch, self.now))
+            self.apply(messages.JobSucceeded(job_id, epoch, self.now))
 
     @stateful.rule(
         number=numbers, reason=strategies.sampled_from(messages.StopReason)
     )
     def stop(self, number, reason):
-        job_id = self.pick(self.book.live, number)
+        job_id = self.choose(self.book.live, number)
         if job_id is None or reason == messages.StopReason.CANCELLED:
             return
         job = self.book.jobs[job_id]
@@ -180,7 +184,7 @@
         if reason in messages.FAULTS or reason.startswith("worker-unr"):
             blamed = job.slots[0].worker_id
             self.capacity_lost = True
-        self.do(
+        self.apply(
             messages.StopPlacement(
                 job_id, job.epoch, reason, self.now, blamed=blamed
             )
@@ -188,7 +192,7 @@
 
     @stateful.rule(number=numbers, confirmed=strategies.booleans())
     def release(self, number, confirmed):
-        job_id = self.pick(self.stopping(), number)
+        job_id = self.choose(self.stopping(), number)
         if job_id is None:
             return
         job = self.book.jobs[job_id]
@@ -197,7 +201,7 @@
             job_id, job.epoch, confirmed, self.now
         )
         try:
-            self.do(command)
+            self.apply(command)
         except errors.ConflictError:
             assert not confirmed and not safe
         else:
@@ -212,37 +216,37 @@
 
     @stateful.rule(number=numbers)
     def cancel(self, number):
-        job_id = self.pick(self.jobs, number)
+        job_id = self.choose(self.jobs, number)
         if job_id is None:
             return
-        view = self.do(messages.CancelJob(job_id, self.now))
+        view = self.apply(messages.CancelJob(job_id, self.now))
         if view.state == messages.JobState.CANCELLED:
             self.cancelled.add(job_id)
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def lose_worker(self, name):
-        self.do(messages.PutWorkers((), (name,), self.now))
+        self.apply(messages.PutWorkers((), (name,), self.now))
         self.capacity_lost = True
 
     @stateful.rule(
         name=strategies.sampled_from(NAMES),
-        life=strategies.sampled_from("12"),
+        incarnation=strategies.sampled_from("12"),
         leaving=strategies.booleans(),
     )
-    def announce(self, name, life, leaving):
-        worker = ledger_checks.worker(name, name[:2], 4, life, leaving)
-        self.do(messages.PutWorkers((worker,), (), self.now))
+    def announce(self, name, incarnation, leaving):
+        worker = ledger_checks.worker(name, name[:2], 4, incarnation, leaving)
+        self.apply(messages.PutWorkers((worker,), (), self.now))
         self.capacity_lost = True
 
     @stateful.rule(name=strategies.sampled_from(NAMES))
     def return_worker(self, name):
-        self.do(messages.ReturnWorker(name, self.now))
+        self.apply(messages.ReturnWorker(name, self.now))
 
     @stateful.rule(seconds=strategies.sampled_from((0.1, 1.0, 60.0)))
     def wait(self, seconds):
         self.now += seconds
         command = messages.ExtendLeases(1, self.now + LEASE_S, self.now)
-        assert self.do(command).until >= self.now + LEASE_S
+        assert self.apply(command).until >= self.now + LEASE_S
 
     @stateful.rule()
     def restart_from_a_snapshot(self):
@@ -257,14 +261,14 @@
         level=strategies.sampled_from(cells.Level),
     )
     def claim_a_cell(self, account, level):
-        """What is owed and restorable can be claimed, whoever borrows it."""
+        """An unbound cell of a restorable guarantee can always be claimed."""
         if not self.book.cells.unbound(account)[level]:
             return
         if not ledger_checks.restorable(self.book):
             return
         sizes = {0: (1, 1), 1: (1, 2), 2: (1, 4), 3: (2, 4)}
         tasks, accelerators = sizes[int(level)]
-        if level == cells.Level.RACK and not self.whole_rack():
+        if level == cells.Level.RACK and not self.racks_are_complete():
             return
         spec = messages.JobSpec(
             account, tasks, accelerators, 1, 1, guaranteed=True
@@ -274,25 +278,25 @@
         claim = claims.find_claim(self.book, probe, self.now)
         del self.book.jobs["probe"]
         assert claim is not None
-        for victim in claim.room.victims:
+        for victim in claim.plan.victims:
             assert not self.book.jobs[victim].spec.guaranteed
 
-    def whole_rack(self):
-        """Returns whether every rack has its two workers."""
+    def racks_are_complete(self):
+        """Returns whether both workers of every rack are present."""
         return all(len(r.workers) == 2 for r in self.book.pool.racks.values())
 
     @stateful.invariant()
-    def holds(self):
+    def ledger_is_consistent(self):
         ledger_checks.check(self.ledger)
-        found = ledger_checks.restorable(self.book)
-        assert found == (self.book.cells.shortfall() == 0)
+        is_restorable = ledger_checks.restorable(self.book)
+        assert is_restorable == (self.book.cells.shortfall() == 0)
         if self.was_restorable and not self.capacity_lost:
-            assert found, "a guarantee cannot be restored any more"
-        self.was_restorable = found
+            assert is_restorable, "a guarantee cannot be restored any more"
+        self.was_restorable = is_restorable
         self.capacity_lost = False
 
     @stateful.invariant()
-    def nothing_is_lost(self):
+    def no_job_is_lost(self):
         assert set(self.book.jobs) == set(self.jobs)
         for job_id in self.cancelled:
             assert self.book.jobs[job_id].state == "cancelled"
@@ -304,15 +308,15 @@
 )
 
 
-def test_a_claim_binds_the_smallest_cells_that_do():
+def test_a_claim_binds_the_smallest_cells_that_suffice():
     machine = PlannerMachine()
     machine.begin((1, 1, 1, 1), (0, 0, 0, 0))
     spec = messages.JobSpec("tana", 1, 2, 1, 1, guaranteed=True)
-    machine.do(messages.SubmitJob("north.0", "d", spec, 10, 0.0))
+    machine.apply(messages.SubmitJob("north.0", "d", spec, 10, 0.0))
     machine.plan(1)
     (cell,) = machine.book.cells.bound["tana"]
     assert cell.level == cells.Level.PAIR
     bigger = dataclasses.replace(spec, tasks=2, accelerators=4)
-    machine.do(messages.SubmitJob("north.1", "d", bigger, 10, 0.0))
+    machine.apply(messages.SubmitJob("north.1", "d", bigger, 10, 0.0))
     machine.plan(1)
     assert machine.book.cells.bound["tana"][1].level == cells.Level.RACK
--- a/laburnumsill/jobs/tests/test_scheduler.py
+++ b/laburnumsill/jobs/tests/test_scheduler.py
@@ -24,7 +24,7 @@
     assert domain.ledgers["north"].book.pool.free_accelerators == 32
 
 
-async def test_leases_are_renewed_while_it_runs():
+async def test_leases_are_renewed_while_a_job_runs():
     domain = fakes.Domain(pool(1))
     async with domain.running():
         view = await domain.submit(accelerators=8, run_s=4.0)
@@ -32,7 +32,7 @@
     assert view.epoch == 1
 
 
-async def test_the_same_key_is_the_same_job():
+async def test_a_reused_key_returns_the_same_job():
     domain = fakes.Domain(pool(1))
     first = await domain.submit()
     assert (await domain.submit()).job_id == first.job_id
@@ -62,7 +62,7 @@
     async with domain.running():
         running = await domain.submit("a", accelerators=8)
         await domain.reaches(running.job_id, State.RUNNING)
-        # RUNNING is committed before the start is sent.
+        # The state RUNNING is committed before the start is sent.
         with trio.fail_after(30):
             while True:
                 if domain.started(running.job_id):
@@ -89,13 +89,13 @@
         assert not domain.live_tasks(view.job_id)
 
 
-async def test_a_lost_worker_stops_the_gang_and_it_runs_elsewhere():
+async def test_a_gang_restarts_elsewhere_after_losing_a_worker():
     domain = fakes.Domain(pool(3))
     async with domain.running():
         view = await domain.submit(tasks=2, accelerators=8)
         view = await domain.reaches(view.job_id, State.RUNNING)
         lost = view.workers[0]
-        domain.client.dead.add(lost)
+        domain.client.unreachable.add(lost)
         domain.view.present = [
             w for w in domain.view.present if w.worker_id != lost
         ]
@@ -112,14 +112,14 @@
 
 async def test_lost_answers_do_not_split_a_gang():
     domain = fakes.Domain(pool(2))
-    domain.client.deaf["w0"] = {"prepare", "start"}
+    domain.client.losing_answers["w0"] = {"prepare", "start"}
 
-    async def hear_again():
+    async def restore_answers():
         await trio.sleep(0.5)
-        domain.client.deaf["w0"] = set()
+        domain.client.losing_answers["w0"] = set()
 
     async with domain.running() as nursery:
-        nursery.start_soon(hear_again)
+        nursery.start_soon(restore_answers)
         view = await domain.submit(tasks=2, accelerators=8, run_s=0.3)
         await domain.reaches(view.job_id, State.SUCCEEDED)
 
@@ -171,7 +171,7 @@
     assert aside.aside_until > 0
 
 
-async def test_jobs_are_spread_over_domains_with_room():
+async def test_jobs_are_spread_over_domains_with_free_capacity():
     workers = pool(1) + [
         fakes.worker("s0", "r1", "south"),
         fakes.worker("s1", "r1", "south"),
@@ -187,7 +187,7 @@
     assert listing.unavailable == ("north",)
 
 
-async def test_a_borrower_that_never_checkpoints_gives_way_in_time():
+async def test_a_borrower_that_never_checkpoints_is_stopped_at_the_timeout():
     config = fakes.configuration(tana={"guarantee": {"north": {"racks": 1}}})
     domain = fakes.Domain(pool(2), config)
     for table in domain.client.tables.values():
@@ -204,7 +204,7 @@
         assert not domain.live_tasks(borrower.job_id)
 
 
-async def test_a_worker_that_dies_under_a_claim_does_not_stop_it():
+async def test_a_claim_completes_although_a_worker_fails():
     config = fakes.configuration(tana={"guarantee": {"north": {"workers": 1}}})
     domain = fakes.Domain(pool(2), config)
     async with domain.running():
@@ -213,20 +213,22 @@
                 f"b{number}", account="fingal", accelerators=8
             )
             await domain.reaches(view.job_id, State.RUNNING)
-        dead = view.workers or (await domain.service.get(view.job_id)).workers
-        domain.client.dead.update(dead)
+        unreachable = (
+            view.workers or (await domain.service.get(view.job_id)).workers
+        )
+        domain.client.unreachable.update(unreachable)
         claim = await domain.submit(accelerators=8, guaranteed=True)
         domain.view.present = [
-            w for w in domain.view.present if w.worker_id not in dead
+            w for w in domain.view.present if w.worker_id not in unreachable
         ]
         view = await domain.reaches(claim.job_id, State.RUNNING, seconds=20)
-        assert not set(view.workers) & set(dead)
+        assert not set(view.workers) & set(unreachable)
 
 
-async def test_a_new_leader_finishes_starts_and_stops():
+async def test_a_new_leader_completes_pending_starts_and_stops():
     domain = fakes.Domain(pool(2))
     for address in domain.client.tables:
-        domain.client.deaf[address] = {"start", "stop"}
+        domain.client.losing_answers[address] = {"start", "stop"}
     async with domain.running():
         first = await domain.submit("a", accelerators=8, run_s=20)
         await domain.reaches(first.job_id, State.RUNNING)
@@ -236,7 +238,7 @@
         jobs_messages.CancelJob(first.job_id, domain.clock.wall())
     )
     for address in domain.client.tables:
-        domain.client.deaf[address] = set()
+        domain.client.losing_answers[address] = set()
     domain.schedulers = [domain.scheduler()]
     async with domain.running():
         await domain.reaches(first.job_id, State.CANCELLED)
@@ -270,7 +272,7 @@
         assert view.failed_tries == 1
 
 
-async def test_a_wave_of_cancellations_loses_no_job():
+async def test_many_cancellations_lose_no_job():
     domain = fakes.Domain(pool(2))
     async with domain.running():
         views = [
--- a/laburnumsill/jobs/watch.py
+++ b/laburnumsill/jobs/watch.py
@@ -1,8 +1,8 @@
-"""Renewing the leases of what runs, and noticing what has ended.
+"""Renewal of the leases of running tasks, and detection of ended tasks.
 
-A renewal's answer tells how the task stands, so one call a task does both.
-A gang is stopped whole when a member failed, was lost, or could not be
-renewed for so long that its lease is about to end.
+The answer to a renewal contains the state of the task, so one call per task
+does both. A whole gang is stopped if a member failed or was lost, or if the
+lease of a member is about to expire because its renewals fail.
 """
 
 import collections
@@ -24,27 +24,33 @@
 Action = worker_client.Action
 StopReason = jobs_messages.StopReason
 
-MAX_INTERVAL_S = 1.0
-"""Longest time between two looks at a running task while there are few."""
+BASE_INTERVAL_S = 1.0
+"""Interval of renewals while few jobs run, in seconds."""
 
-CALLS_PER_S = 500
-"""Renewals a second that looking more often than needed may cost."""
+RENEWALS_PER_S = 500
+"""Target number of running jobs renewed per second.
 
-LAST_PART = 0.34
-"""A gang is stopped once a member's lease has less than this part left."""
+With more jobs than that, the interval grows in proportion, but never beyond
+what leases allow.
+"""
+
+STOP_BELOW_FRACTION = 0.34
+"""Fraction of a lease; a gang is stopped if a member's lease has less left."""
 
 MAX_WORKERS_AT_ONCE = 256
 MAX_CALL_TIMEOUT_S = 1.0
-CALL_PART = 1 / 6
-"""A renewal waits for its answer for this part of a lease at most, so that
-a worker that hangs does not hold up the next round."""
+CALL_LEASE_FRACTION = 1 / 6
+"""Maximum timeout of a renewal, as a fraction of a lease.
 
+It keeps a stalled worker from delaying the next round.
+"""
 
-class Watch:
-    """Watches the running placements of one domain.
+
+class PlacementMonitor:
+    """Renews the leases of one domain's running placements.
 
     Attributes:
-        contacts: Monotonic point of the last answer of each worker.
+        contacts: Monotonic time of the last contact with each worker.
     """
 
     def __init__(
@@ -55,7 +61,7 @@
         client: worker_client.WorkerClient,
         clock: clocks.Clock,
         metrics: metrics_module.Metrics,
-        limits: abc.Callable[[], gangs.Limits],
+        limits: abc.Callable[[], gangs.GangLimits],
     ) -> None:
         self.contacts: dict[str, float] = {}
         self._domain = domain
@@ -69,29 +75,31 @@
         self._succeeded: dict[str, set[str]] = {}
 
     async def run(self) -> None:
-        """Looks at all running tasks again and again until cancelled."""
+        """Renews all running tasks periodically until cancelled."""
         while True:
             began = self._clock.monotonic()
             live = len(self._domain.ledger.book.live)
             if live:
-                await self._round()
+                await self._renew_all()
             spent = self._clock.monotonic() - began
             await trio.sleep(max(0.02, self._interval(live) - spent))
 
     def _interval(self, live: int) -> float:
-        longest = self._limits().lease_s / leases.RENEWALS
-        wanted = max(MAX_INTERVAL_S, live / CALLS_PER_S)
+        longest = self._limits().lease_s / leases.RENEWALS_PER_LEASE
+        wanted = max(BASE_INTERVAL_S, live / RENEWALS_PER_S)
         return min(longest, wanted)
 
-    async def _round(self) -> None:
-        """Renews everything that runs, worker by worker."""
-        until = await self._granter.fresh(self._limits().lease_s)
+    async def _renew_all(self) -> None:
+        """Renews all running tasks, concurrently for different workers."""
+        expires_at = await self._granter.extend_if_due(self._limits().lease_s)
         by_worker = self._by_worker()
-        self._forget()
+        self._prune()
         at_once = trio.CapacityLimiter(MAX_WORKERS_AT_ONCE)
         async with trio.open_nursery() as nursery:
             for members in by_worker.values():
-                nursery.start_soon(self._worker, members, until, at_once)
+                nursery.start_soon(
+                    self._renew_on_worker, members, expires_at, at_once
+                )
 
     def _by_worker(
         self,
@@ -99,7 +107,7 @@
         found: dict[str, list[tuple[placements.Job, gangs.Member]]]
         found = collections.defaultdict(list)
         for job in self._domain.ledger.book.live.values():
-            if not _runs(job) or not self._granter.may_renew(job.job_id):
+            if not _is_running(job) or not self._granter.may_renew(job.job_id):
                 continue
             done = self._succeeded.get(job.job_id, ())
             for member in self._driver.members(job):
@@ -107,53 +115,56 @@
                     found[member.slot.worker_id].append((job, member))
         return found
 
-    def _forget(self) -> None:
-        """Forgets what was noted of jobs that run no more."""
+    def _prune(self) -> None:
+        """Removes the records of jobs without a placement."""
         live = self._domain.ledger.book.live
         for job_id in [j for j in self._succeeded if j not in live]:
             del self._succeeded[job_id]
         if len(self._renewed) > 2 * sum(len(j.slots) for j in live.values()):
-            names = {m.task_id for j in live.values() for m in self._of(j)}
+            names = {m.task_id for j in live.values() for m in self._members(j)}
             self._renewed = {
-                name: until
-                for name, until in self._renewed.items()
+                name: expires_at
+                for name, expires_at in self._renewed.items()
                 if name in names
             }
 
-    def _of(self, job: placements.Job) -> list[gangs.Member]:
+    def _members(self, job: placements.Job) -> list[gangs.Member]:
         return self._driver.members(job)
 
-    async def _worker(
+    async def _renew_on_worker(
         self,
         members: abc.Sequence[tuple[placements.Job, gangs.Member]],
-        until: float,
+        expires_at: float,
         at_once: trio.CapacityLimiter,
     ) -> None:
         async with at_once:
-            answers = True
+            reachable = True
             for job, member in members:
                 epoch = job.epoch
-                if not _runs(job):
+                if not _is_running(job):
                     continue
-                if answers:
-                    answers = await self._task(job, epoch, member, until)
+                if reachable:
+                    reachable = await self._renew_task(
+                        job, epoch, member, expires_at
+                    )
                 else:
                     await self._check_lease(job, epoch, member)
 
-    async def _task(
+    async def _renew_task(
         self,
         job: placements.Job,
         epoch: int,
         member: gangs.Member,
-        until: float,
+        expires_at: float,
     ) -> bool:
-        """Renews one task; returns whether its worker answered."""
+        """Renews one task and returns whether its worker answered."""
         try:
-            report = await self._renew(member, epoch, until)
+            report = await self._renew(member, epoch, expires_at)
             if report.state == "prepared":
-                # The leader before this one committed the start and did not
-                # come to send it.
-                report = await self._call(Action.START, member, epoch, until)
+                # The previous leader committed the start but did not send it.
+                report = await self._call(
+                    Action.START, member, epoch, expires_at
+                )
             state, reason = report.state, report.ended_reason or ""
         except worker_client.TaskNotLiveError as error:
             state = error.state
@@ -167,49 +178,53 @@
             return False
         self.contacts[member.slot.worker_id] = self._clock.monotonic()
         if state in ("running", "prepared"):
-            self._renewed[member.task_id] = until
+            self._renewed[member.task_id] = expires_at
         else:
-            await self._ended(job, epoch, member, state, reason)
+            await self._handle_end(job, epoch, member, state, reason)
         return True
 
     async def _renew(
-        self, member: gangs.Member, epoch: int, until: float
+        self, member: gangs.Member, epoch: int, expires_at: float
     ) -> worker_client.TaskReport:
-        return await self._call(Action.RENEW, member, epoch, until)
+        return await self._call(Action.RENEW, member, epoch, expires_at)
 
     async def _call(
-        self, action: Action, member: gangs.Member, epoch: int, until: float
+        self,
+        action: Action,
+        member: gangs.Member,
+        epoch: int,
+        expires_at: float,
     ) -> worker_client.TaskReport:
-        longest = CALL_PART * self._limits().lease_s
+        longest = CALL_LEASE_FRACTION * self._limits().lease_s
         timeout_s = min(MAX_CALL_TIMEOUT_S, longest)
         return await self._client.act(
             member.address,
             action,
             member.task_id,
             epoch,
-            until,
+            expires_at,
             self._clock.monotonic() + timeout_s,
         )
 
     async def _check_lease(
         self, job: placements.Job, epoch: int, member: gangs.Member
     ) -> None:
-        """Stops the gang if the member's lease is about to end."""
-        if not _is_at(job, epoch):
+        """Stops the gang if the member's lease is about to expire."""
+        if not _is_running_epoch(job, epoch):
             return
-        known = self._renewed.setdefault(
+        expires_at = self._renewed.setdefault(
             member.task_id, self._clock.wall() + self._limits().lease_s
         )
-        left = known - self._clock.wall()
-        if left < LAST_PART * self._limits().lease_s:
-            await self._driver.give_up(
+        left = expires_at - self._clock.wall()
+        if left < STOP_BELOW_FRACTION * self._limits().lease_s:
+            await self._driver.commit_stop(
                 job.job_id,
                 epoch,
                 StopReason.WORKER_LOST,
                 detail=f"{member.slot.worker_id} did not renew",
             )
 
-    async def _ended(
+    async def _handle_end(
         self,
         job: placements.Job,
         epoch: int,
@@ -217,13 +232,13 @@
         state: str,
         reason: str,
     ) -> None:
-        if not _is_at(job, epoch):
+        if not _is_running_epoch(job, epoch):
             return
         if state == "succeeded":
             await self._member_succeeded(job, epoch, member)
             return
         failed = state == "failed"
-        await self._driver.give_up(
+        await self._driver.commit_stop(
             job.job_id,
             epoch,
             StopReason.TASK_FAILED if failed else StopReason.WORKER_LOST,
@@ -236,7 +251,7 @@
     ) -> None:
         done = self._succeeded.setdefault(job.job_id, set())
         done.add(member.task_id)
-        ended = {m.task_id for m in self._of(job)}
+        ended = {m.task_id for m in self._members(job)}
         if not ended <= done:
             return
         try:
@@ -255,8 +270,8 @@
         logs.event("job-succeeded", job=job.job_id, epoch=epoch)
 
 
-def _runs(job: placements.Job) -> bool:
-    """Returns whether a job's placement runs and is not given up."""
+def _is_running(job: placements.Job) -> bool:
+    """Returns whether a job's placement is running and not stopping."""
     placement = job.placement
     return (
         placement is not None
@@ -265,6 +280,6 @@
     )
 
 
-def _is_at(job: placements.Job, epoch: int) -> bool:
-    """Returns whether a job still runs under the epoch that was asked of."""
-    return _runs(job) and job.epoch == epoch
+def _is_running_epoch(job: placements.Job, epoch: int) -> bool:
+    """Returns whether a job is still running under the given epoch."""
+    return _is_running(job) and job.epoch == epoch
