--- a/laburnumsill/jobs/claims.py
+++ b/laburnumsill/jobs/claims.py
@@ -1,5 +1,8 @@
 """Claims: the cells for a guaranteed job, and the borrowers to preempt.
 
+A cell is the unit of guarantees: an accelerator, an aligned pair of them, a
+worker or a rack. It is bound to hardware when a job first needs it.
+
 The cells already bound to the account are used first, then the smallest new
 cells that suffice, all in one rack for a gang that must be adjacent. Among
 several racks, the claim is made in the one where preemption loses the least
--- a/laburnumsill/jobs/overuse.py
+++ b/laburnumsill/jobs/overuse.py
@@ -29,7 +29,7 @@
 """Ratio of used to declared resources that is tolerated."""
 
 MAX_OVERUSE_REPORTS = 4
-"""Number of reports of over-use in a row that do not stop a task yet.
+"""Maximum number of consecutive reports of over-use before a task is stopped.
 
 The first of them throttles the task.
 """
--- a/laburnumsill/jobs/scheduler.py
+++ b/laburnumsill/jobs/scheduler.py
@@ -179,7 +179,7 @@
         self._driver = gangs.GangDriver(
             domain, granter, client, clock, metrics, self._limits
         )
-        self.monitor = watch.PlacementMonitor(
+        self.monitor = watch.Watch(
             domain,
             granter,
             self._driver,
--- a/laburnumsill/jobs/watch.py
+++ b/laburnumsill/jobs/watch.py
@@ -38,15 +38,19 @@
 """Fraction of a lease; a gang is stopped if a member's lease has less left."""
 
 MAX_WORKERS_AT_ONCE = 256
+"""Maximum number of workers that are called concurrently."""
+
 MAX_CALL_TIMEOUT_S = 1.0
+"""Maximum timeout of a renewal, in seconds."""
+
 CALL_LEASE_FRACTION = 1 / 6
-"""Maximum timeout of a renewal, as a fraction of a lease.
+"""Maximum timeout of a renewal as a fraction of a lease.
 
 It keeps a stalled worker from delaying the next round.
 """
 
 
-class PlacementMonitor:
+class Watch:
     """Renews the leases of one domain's running placements.
 
     Attributes:
