--- a/laburnumsill/config/__init__.py
+++ b/laburnumsill/config/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration models, overlay merge and versions; no I/O."""
+"""Configuration models, loading from TOML, overlays and differences."""
--- a/laburnumsill/config/canonical.py
+++ b/laburnumsill/config/canonical.py
@@ -1,7 +1,7 @@
-"""The one encoding of a configuration that its digest is taken of.
+"""Canonical JSON encoding of a configuration, and its digest.
 
-The same configuration always gives the same bytes: JSON with sorted keys,
-every value written out, defaults too.
+Equal configurations have the same encoding: JSON with sorted keys that states
+every value, also those that equal the default.
 """
 
 import orjson
@@ -14,7 +14,7 @@
 
 
 class UnreadableConfigurationError(errors.InvalidConfigurationError):
-    """Bytes or values from outside that are no valid configuration.
+    """Bytes or values do not encode a valid configuration.
 
     Its context has the fields ``key``, ``value`` and ``expected``.
     """
@@ -27,8 +27,8 @@
     """Returns the canonical JSON of a configuration.
 
     Examples:
-        >>> one = models.Configuration(site="a", domains=["north"])
-        >>> decode(encode(one)) == one
+        >>> configuration = models.Configuration(site="a", domains=["north"])
+        >>> decode(encode(configuration)) == configuration
         True
     """
     return orjson.dumps(
@@ -37,15 +37,16 @@
 
 
 def digest(raw: bytes) -> str:
-    """Returns the digest of canonical bytes, in hex."""
+    """Returns the digest of a canonical encoding, in hex."""
     return hashing.digest(raw)
 
 
 def decode(raw: bytes) -> models.Configuration:
-    """Returns the configuration that JSON stands for.
+    """Returns the configuration that JSON text encodes.
 
     Raises:
-        UnreadableConfigurationError: `raw` is no JSON or does not validate.
+        UnreadableConfigurationError: `raw` is not JSON or not a valid
+            configuration.
     """
     try:
         return models.Configuration.model_validate_json(raw, strict=True)
@@ -54,10 +55,11 @@
 
 
 def from_values(values: object) -> models.Configuration:
-    """Returns the configuration that plain JSON values stand for.
+    """Returns the configuration for parsed JSON values.
 
     Raises:
-        UnreadableConfigurationError: The values do not validate.
+        UnreadableConfigurationError: The values are not a valid
+            configuration.
     """
     try:
         return models.Configuration.model_validate(values, strict=True)
@@ -68,12 +70,12 @@
 def _unreadable(
     failure: pydantic.ValidationError,
 ) -> UnreadableConfigurationError:
-    spot = toml_files.first_spot(failure)
-    value = repr(spot.value)[:80]
-    key = spot.key or "configuration"
+    invalid = toml_files.first_invalid_value(failure)
+    value = repr(invalid.value)[:80]
+    key = invalid.key or "configuration"
     return UnreadableConfigurationError(
-        f"{key}: got {value}, expected {spot.expected}",
+        f"{key}: got {value}, expected {invalid.expected}",
         key=key,
         value=value,
-        expected=spot.expected,
+        expected=invalid.expected,
     )
--- a/laburnumsill/config/overlay.py
+++ b/laburnumsill/config/overlay.py
@@ -1,11 +1,11 @@
-"""Laying a site's overlay over the base configuration.
-
-An overlay states only what differs. It may set only keys that the base has,
-so that a misspelt key is refused rather than ignored, and no key to the
-value that the base has already, so that the overlay stays the list of the
-site's differences. The base names in `open_tables` the tables to which an
-overlay may add names, such as ``accounts.*.guarantee``; a star stands for
-any one name.
+"""Merges a site's overlay into the base configuration.
+
+An overlay states only values that differ from the base. It may set only keys
+that the base has, so that a misspelt key is refused rather than ignored, and
+no key to the value that the base already has, so that the overlay stays a list
+of the site's differences. The base lists in `open_tables` the tables to which
+an overlay may add keys, such as ``accounts.*.guarantee``; a star matches any
+single key.
 """
 
 import dataclasses
@@ -14,22 +14,24 @@
 from laburnumsill.config import toml_files
 
 OPEN_TABLES_KEY = "open_tables"
-"""The key of the base file, no part of the configuration, with patterns."""
+"""Key of the base file with the patterns of open tables.
 
-_ANY_NAME = "*"
+It is not part of the configuration."""
+
+_WILDCARD = "*"
 
 Path = tuple[str, ...]
 
 
 class UnknownOverlayKeyError(toml_files.InvalidFileError):
-    """An overlay sets a key that the base lacks."""
+    """An overlay sets a key that the base does not have."""
 
     slug = "unknown-overlay-key"
     title = "The base has no such key"
 
 
 class UnchangedOverlayKeyError(toml_files.InvalidFileError):
-    """An overlay states what the base says already."""
+    """An overlay sets a key to the value that the base already has."""
 
     slug = "unchanged-overlay-key"
     title = "The overlay states what does not differ"
@@ -37,32 +39,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Base:
-    """The base configuration and which of its tables are open."""
+    """The base configuration, and the patterns of its open tables."""
 
     tree: toml_files.Tree
     open_tables: frozenset[Path]
 
     def is_open(self, table: Path) -> bool:
-        """Returns whether an overlay may add names to `table`."""
+        """Returns whether an overlay may add keys to `table`."""
         return any(_matches(pattern, table) for pattern in self.open_tables)
 
 
 def split_base(tree: toml_files.Tree, file: str) -> Base:
-    """Returns the base without its list of open tables, and the list.
+    """Splits a base file into the configuration and the open tables.
 
     Args:
-        tree: The whole base file.
-        file: The file, for the error.
+        tree: The parsed base file.
+        file: Path of the base file, for the error.
 
     Raises:
-        toml_files.InvalidFileError: The list is no list of strings.
+        toml_files.InvalidFileError: `open_tables` is not a list of strings.
     """
     rest = dict(tree)
     names = rest.pop(OPEN_TABLES_KEY, [])
-    good = isinstance(names, list) and all(
+    is_valid = isinstance(names, list) and all(
         isinstance(name, str) for name in names
     )
-    if not good:
+    if not is_valid:
         raise toml_files.InvalidFileError.at(
             file, OPEN_TABLES_KEY, names, "a list of dotted table names"
         )
@@ -70,17 +72,17 @@
 
 
 def merge(base: Base, overlay: toml_files.Tree, file: str) -> toml_files.Tree:
-    """Returns the base with what the overlay states laid over it.
+    """Returns the base with the values of the overlay merged into it.
 
     Args:
         base: The base.
-        overlay: The whole overlay file.
-        file: The overlay's file, for the errors.
+        overlay: The parsed overlay file.
+        file: Path of the overlay file, for the errors.
 
     Raises:
-        UnknownOverlayKeyError: The base has no such key, or has a table
-            where the overlay has a value, or the other way round.
-        UnchangedOverlayKeyError: The base has the same value already.
+        UnknownOverlayKeyError: The base has no such key, or only one of
+            base and overlay has a table at the key.
+        UnchangedOverlayKeyError: The base already has the same value.
 
     Examples:
         >>> base = Base({"jobs": {"lease_s": 10, "max_tries": 3}}, frozenset())
@@ -92,56 +94,62 @@
 
 def _merge_table(
     base: Base,
-    below: toml_files.Tree,
-    above: toml_files.Tree,
+    base_table: toml_files.Tree,
+    overlay_table: toml_files.Tree,
     path: Path,
     file: str,
 ) -> toml_files.Tree:
-    if not above:
+    if not overlay_table:
         raise UnchangedOverlayKeyError.at(
-            file, ".".join(path), above, "at least one key that differs"
+            file, ".".join(path), overlay_table, "at least one key that differs"
         )
-    merged = dict(below)
-    for name, value in above.items():
-        here = (*path, name)
-        if name in below:
-            merged[name] = _merge_value(base, below[name], value, here, file)
+    merged = dict(base_table)
+    for name, value in overlay_table.items():
+        key_path = (*path, name)
+        if name in base_table:
+            merged[name] = _merge_value(
+                base, base_table[name], value, key_path, file
+            )
         elif base.is_open(path):
             merged[name] = value
         else:
             raise UnknownOverlayKeyError.at(
-                file, ".".join(here), value, "a key that the base has"
+                file, ".".join(key_path), value, "a key that the base has"
             )
     return merged
 
 
 def _merge_value(
-    base: Base, below: typing.Any, above: typing.Any, path: Path, file: str
+    base: Base,
+    base_value: typing.Any,
+    overlay_value: typing.Any,
+    path: Path,
+    file: str,
 ) -> typing.Any:
     key = ".".join(path)
-    if isinstance(below, dict) and isinstance(above, dict):
-        return _merge_table(base, below, above, path, file)
-    if isinstance(below, dict) or isinstance(above, dict):
-        wanted = "a table" if isinstance(below, dict) else "no table"
+    if isinstance(base_value, dict) and isinstance(overlay_value, dict):
+        return _merge_table(base, base_value, overlay_value, path, file)
+    if isinstance(base_value, dict) or isinstance(overlay_value, dict):
+        expected = "a table" if isinstance(base_value, dict) else "no table"
         raise UnknownOverlayKeyError.at(
-            file, key, above, f"{wanted}, as in the base"
+            file, key, overlay_value, f"{expected}, as in the base"
         )
-    if _same(below, above):
+    if _same(base_value, overlay_value):
         raise UnchangedOverlayKeyError.at(
-            file, key, above, "another value than the base has"
+            file, key, overlay_value, "another value than the base has"
         )
-    return above
+    return overlay_value
 
 
-def _same(below: object, above: object) -> bool:
-    """Returns whether two values say the same; True is not 1."""
-    if isinstance(below, bool) != isinstance(above, bool):
+def _same(base_value: object, overlay_value: object) -> bool:
+    """Returns whether two values are equal; True does not equal 1."""
+    if isinstance(base_value, bool) != isinstance(overlay_value, bool):
         return False
-    return below == above
+    return base_value == overlay_value
 
 
 def _matches(pattern: Path, table: Path) -> bool:
     return len(pattern) == len(table) and all(
-        part in (_ANY_NAME, name)
+        part in (_WILDCARD, name)
         for part, name in zip(pattern, table, strict=True)
     )
--- a/laburnumsill/config/site.py
+++ b/laburnumsill/config/site.py
@@ -7,22 +7,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queue:
-    """Where jobs of one kind are handed in.
+    """A queue that jobs of one kind are submitted to.
 
     Attributes:
         name: Unique in the configuration.
-        host: The host that callers name.
-        path_prefix: What the paths of its calls begin with.
-        pool: The service whose workers run its tasks.
-        timeout_ms: Longest time for a call, in ms.
-        target_ms: Part of the objective of its jobs, in ms.
-        priority: 0 goes first.
-        max_attempts: A task that failed so often fails its job.
-        stretch: Multiple of a job's longest chain of work that is still in
-            time.
-        is_public: Whether calls need no key.
-        is_restricted: Whether a policy outside says which workers may run
-            its steps.
+        host: Host name in the URLs of its calls.
+        path_prefix: Prefix of the paths of its calls.
+        pool: Name of the worker pool that runs its tasks.
+        timeout_ms: Timeout of a call, in ms.
+        target_ms: Constant part of the objective for the completion time of
+            its jobs, in ms.
+        priority: Priority of its jobs; 0 is the highest.
+        max_attempts: Number of failed attempts of one task after which its
+            job fails.
+        stretch: Factor on the length of a job's critical path in the
+            objective for its completion time.
+        is_public: Whether calls need no API key.
+        is_restricted: Whether an external policy decides which workers may
+            run its steps.
     """
 
     name: str
@@ -44,9 +46,9 @@
 
     Attributes:
         name: Unique in the configuration.
-        keys: The API keys that are its.
-        guaranteed_accelerators: What is its own at all times, for its jobs
-            of priority 0.
+        keys: API keys of the account.
+        guaranteed_accelerators: Number of accelerators guaranteed to its
+            jobs of priority 0 at all times.
     """
 
     name: str
@@ -60,7 +62,8 @@
 
     Attributes:
         name: Unique in the configuration.
-        enforces_capacity: Whether its workers refuse what does not fit.
+        enforces_capacity: Whether its workers refuse tasks that exceed their
+            capacity.
     """
 
     name: str
@@ -69,14 +72,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds of callers' requests."""
+    """Size limits of callers' requests."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 262144
 
 
-def _made_from_the_others() -> typing.Any:
-    """Returns a field for a table that is made from the other fields."""
+def _derived_table() -> typing.Any:
+    """Returns a dataclass field for an index computed from other fields."""
     return dataclasses.field(
         default_factory=dict, init=False, repr=False, compare=False
     )
@@ -101,33 +104,33 @@
     accounts: tuple[Account, ...]
     pools: tuple[Pool, ...]
     limits: Limits = dataclasses.field(default_factory=Limits)
-    _queues_at: dict[tuple[str, str], Queue] = _made_from_the_others()
-    _prefix_lengths: dict[str, list[int]] = _made_from_the_others()
-    _account_of: dict[str, Account] = _made_from_the_others()
+    _queues_by_prefix: dict[tuple[str, str], Queue] = _derived_table()
+    _prefix_lengths: dict[str, list[int]] = _derived_table()
+    _accounts_by_key: dict[str, Account] = _derived_table()
 
     def __post_init__(self) -> None:
-        """Makes the tables that requests are looked up in."""
+        """Builds the indexes for lookups by path and by API key."""
         lengths: dict[str, set[int]] = {}
         for queue in self.queues:
-            self._queues_at[queue.host, queue.path_prefix] = queue
+            self._queues_by_prefix[queue.host, queue.path_prefix] = queue
             lengths.setdefault(queue.host, set()).add(len(queue.path_prefix))
-        for host, found in lengths.items():
-            self._prefix_lengths[host] = sorted(found, reverse=True)
+        for host, host_lengths in lengths.items():
+            self._prefix_lengths[host] = sorted(host_lengths, reverse=True)
         for account in self.accounts:
             for key in account.keys:
-                self._account_of[key] = account
+                self._accounts_by_key[key] = account
 
     def queue_for(self, host: str, path: str) -> Queue | None:
-        """Returns the queue of the longest prefix that `path` has."""
+        """Returns the queue with the longest matching prefix, or None."""
         for length in self._prefix_lengths.get(host, ()):
-            queue = self._queues_at.get((host, path[:length]))
+            queue = self._queues_by_prefix.get((host, path[:length]))
             if queue is not None:
                 return queue
         return None
 
     def account_of(self, key: str) -> Account | None:
-        """Returns the account that a key belongs to, or None."""
-        return self._account_of.get(key)
+        """Returns the account that an API key belongs to, or None."""
+        return self._accounts_by_key.get(key)
 
     @property
     def pool_names(self) -> abc.Set[str]:
@@ -136,7 +139,7 @@
 
     @property
     def guarantees(self) -> abc.Mapping[str, int]:
-        """The guaranteed accelerators by account."""
+        """The number of guaranteed accelerators by account name."""
         return {
             account.name: account.guaranteed_accelerators
             for account in self.accounts
--- a/laburnumsill/config/toml_files.py
+++ b/laburnumsill/config/toml_files.py
@@ -1,4 +1,4 @@
-"""Reading TOML files into validated models, with errors that name the spot."""
+"""Reads TOML files into validated models; errors name file and key."""
 
 import dataclasses
 import pathlib
@@ -10,7 +10,7 @@
 from laburnumsill.core import errors
 
 MAX_FILE_BYTES = 4 * 1024 * 1024
-"""Largest settings or configuration file."""
+"""Size limit of a settings or configuration file."""
 
 _SHOWN_VALUE_LENGTH = 80
 _PYDANTIC_PREFIXES = ("Input should be ", "Value error, ")
@@ -21,7 +21,7 @@
 
 
 class InvalidFileError(errors.InvalidConfigurationError):
-    """A file of settings or configuration that cannot be used.
+    """A settings or configuration file is invalid.
 
     Its context has the fields ``file``, ``key``, ``value`` and ``expected``.
     """
@@ -37,13 +37,13 @@
         value: object,
         expected: str,
     ) -> ErrorT:
-        """Returns the error for one spot of a file.
+        """Returns the error for a value at one key of a file.
 
         Args:
-            file: The file, as the user named it.
+            file: Path of the file, as the user gave it.
             key: The dotted key, empty for the file as a whole.
             value: The offending value.
-            expected: What would have been right.
+            expected: Description of a valid value.
 
         Examples:
             >>> str(InvalidFileError.at("a.toml", "x.y", 7, "a string"))
@@ -52,9 +52,9 @@
         shown = repr(value)
         if len(shown) > _SHOWN_VALUE_LENGTH:
             shown = shown[:_SHOWN_VALUE_LENGTH] + "..."
-        spot = f"{file}: {key}" if key else str(file)
+        location = f"{file}: {key}" if key else str(file)
         return cls(
-            f"{spot}: got {shown}, expected {expected}",
+            f"{location}: got {shown}, expected {expected}",
             file=str(file),
             key=key,
             value=shown,
@@ -63,7 +63,7 @@
 
 
 class MissingFileError(InvalidFileError):
-    """A file that does not exist or cannot be read."""
+    """A file does not exist or cannot be read."""
 
     slug = "missing-file"
     title = "The file cannot be read"
@@ -76,11 +76,11 @@
 
     Args:
         path: The file.
-        error: The type of the error for a file that is not TOML.
+        error: Class of the error for a file that is too large or not TOML.
 
     Raises:
         MissingFileError: The file cannot be read.
-        InvalidFileError: It is not TOML, or too long; of the type `error`.
+        InvalidFileError: It is too large or not TOML; of class `error`.
     """
     try:
         raw = path.read_bytes()
@@ -104,47 +104,56 @@
     file: str | pathlib.Path,
     error: type[InvalidFileError] = InvalidFileError,
 ) -> ModelT:
-    """Returns `tree` as an instance of `model`.
+    """Returns the instance of `model` with the values of `tree`.
 
     Args:
         model: The model.
-        tree: The tables of the file.
-        file: The file, for the error.
-        error: The type of the error for a value that does not validate.
+        tree: The parsed file.
+        file: Path of the file, for the error.
+        error: Class of the error for an invalid value.
 
     Raises:
-        InvalidFileError: A value does not validate; of the type `error`.
+        InvalidFileError: A value is invalid; of class `error`.
     """
     try:
         return model.model_validate(tree, strict=True)
     except pydantic.ValidationError as failure:
-        spot = first_spot(failure)
-        raise error.at(file, spot.key, spot.value, spot.expected) from failure
+        invalid = first_invalid_value(failure)
+        raise error.at(
+            file, invalid.key, invalid.value, invalid.expected
+        ) from failure
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Spot:
-    """Where a model failed to validate, and why."""
+class InvalidValue:
+    """A value that failed validation.
+
+    Attributes:
+        key: Its dotted key.
+        value: The value, None if it is missing.
+        expected: Description of a valid value.
+    """
 
     key: str
     value: object
     expected: str
 
 
-def first_spot(failure: pydantic.ValidationError) -> Spot:
-    """Returns the first thing that `failure` complains of."""
+def first_invalid_value(failure: pydantic.ValidationError) -> InvalidValue:
+    """Returns the first invalid value that `failure` reports."""
     first = failure.errors()[0]
     context = first.get("ctx", {})
     kind = first["type"]
     if kind == "unknown_name":
         known = f"a known {context['kind']}"
-        return Spot(context["key"], context["value"], known)
+        return InvalidValue(context["key"], context["value"], known)
     value = None if kind == "missing" else first["input"]
     key = ".".join(str(part) for part in first["loc"])
-    return Spot(key, value, _expected(kind, first["msg"]))
+    return InvalidValue(key, value, _expected(kind, first["msg"]))
 
 
 def _expected(kind: str, message: str) -> str:
+    """Returns the description of a valid value for a Pydantic error."""
     if kind == "missing":
         return "a value"
     if kind == "extra_forbidden":
