--- a/laburnumsill/config/changed.py
+++ b/laburnumsill/config/changed.py
@@ -1,7 +1,7 @@
-"""The models of a configuration that differs little from a known one.
+"""Incremental validation of a configuration after a change.
 
-Validating all accounts takes most of the time that a new version costs, and
-a version changes few of them.
+Most of the time to decode a new version is spent on the validation of its
+accounts, and a version changes few of them.
 """
 
 from collections import abc
@@ -13,10 +13,10 @@
 from laburnumsill.config import models
 
 ACCOUNTS = "accounts"
-"""The key of the accounts; each is valid or not by itself and `DOMAINS`."""
+"""Key of the accounts; validity of each depends only on it and `DOMAINS`."""
 
 DOMAINS = "domains"
-"""The key of the failure domains, which guarantees are checked against."""
+"""Key of the failure domains; guarantees may name only these."""
 
 
 def decode(
@@ -24,44 +24,50 @@
     document: difference.Document,
     changes: abc.Iterable[difference.Difference],
 ) -> models.Configuration:
-    """Returns the same as `canonical.decode` of the document.
+    """Returns the same configuration as `canonical.decode` of the document.
 
-    Only the accounts that the changes touch are validated, with all that is
-    not an account. Where the changes touch the failure domains, or the
-    accounts as a whole, everything is.
+    Validates only the accounts that the changes touch, and everything outside
+    the accounts. If the changes touch the failure domains or replace the whole
+    table of accounts, validates the whole document.
 
     Args:
-        before: The valid configuration that the changes were applied to.
-        document: What they gave.
+        before: Valid configuration that the changes were applied to.
+        document: The result of the changes.
         changes: The changes, in order.
 
     Raises:
-        canonical.UnreadableConfigurationError: It does not validate.
+        canonical.UnreadableConfigurationError: The document is not a valid
+            configuration.
     """
     names = _touched_accounts(changes)
     if names is None or ACCOUNTS not in document.values:
         return canonical.decode(document.text)
     accounts = document.values[ACCOUNTS]
-    touched = {name: accounts[name] for name in names if name in accounts}
-    part = canonical.decode(
-        orjson.dumps({**document.values, ACCOUNTS: touched})
+    touched_accounts = {
+        name: accounts[name] for name in names if name in accounts
+    }
+    validated = canonical.decode(
+        orjson.dumps({**document.values, ACCOUNTS: touched_accounts})
     )
-    kept = {
+    untouched = {
         name: account
         for name, account in before.accounts.items()
         if name not in names
     }
-    both = sorted({**kept, **part.accounts}.items())
-    return part.model_copy(update={ACCOUNTS: dict(both)})
+    merged = sorted({**untouched, **validated.accounts}.items())
+    return validated.model_copy(update={ACCOUNTS: dict(merged)})
 
 
 def _touched_accounts(
     changes: abc.Iterable[difference.Difference],
 ) -> set[str] | None:
-    """Returns the names of the touched accounts, None if it may be all."""
+    """Returns the names of the touched accounts, None for all accounts."""
     names = set()
     for change in changes:
-        paths = [*change.removals, *(one.path for one in change.settings)]
+        paths = [
+            *change.removals,
+            *(setting.path for setting in change.settings),
+        ]
         for path in paths:
             if path in ((), (ACCOUNTS,)) or path[0] == DOMAINS:
                 return None
--- a/laburnumsill/config/current.py
+++ b/laburnumsill/config/current.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this VM, and who wants to hear of it."""
+"""Holder of the configuration in force on this VM; notifies observers."""
 
 import dataclasses
 from collections import abc
@@ -8,7 +8,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Versioned:
-    """A configuration with its version; versions only grow."""
+    """A configuration with its version number and digest.
+
+    Version numbers only increase.
+    """
 
     version: int
     digest: str
@@ -16,9 +19,10 @@
 
 
 class Current:
-    """Holds the configuration in force; an older version never replaces it.
+    """The configuration in force; an older version never replaces it.
 
-    Readers call `get` whenever they need it and keep nothing.
+    Readers call `get` for each use and do not cache the result, so that they
+    see each new version at once.
     """
 
     def __init__(self) -> None:
@@ -27,7 +31,7 @@
 
     @property
     def version(self) -> int:
-        """The version in force, 0 before the first."""
+        """The version number in force, 0 before the first."""
         return self._versioned.version if self._versioned else 0
 
     def get(self) -> models.Configuration | None:
@@ -35,11 +39,11 @@
         return self._versioned.configuration if self._versioned else None
 
     def versioned(self) -> Versioned | None:
-        """Returns the configuration in force with its version."""
+        """Returns the configuration in force with its version, or None."""
         return self._versioned
 
     def put(self, versioned: Versioned) -> bool:
-        """Puts a newer version in force and returns whether it was newer."""
+        """Puts a version in force if it is newer; returns whether it is."""
         if versioned.version <= self.version:
             return False
         self._versioned = versioned
@@ -48,5 +52,5 @@
         return True
 
     def observe(self, observer: abc.Callable[[Versioned], None]) -> None:
-        """Calls `observer` with each version that comes into force."""
+        """Registers `observer` to be called with each new version."""
         self._observers.append(observer)
--- a/laburnumsill/config/difference.py
+++ b/laburnumsill/config/difference.py
@@ -1,19 +1,20 @@
 """The difference between two configurations in canonical JSON.
 
 Explanation:
-    A difference says which values of the newer one are set and which keys of
-    the older one are removed, by path. Objects are compared key by key, all
-    else is set whole. It is deterministic, and with B and N in canonical
-    form ``apply(B, difference(B, N)) == N``, byte for byte.
+    A difference lists the paths that are set, with their new values, and the
+    paths of the keys that are removed. Objects are compared key by key; any
+    other value is replaced as a whole. It is deterministic, and with B and N
+    in canonical form ``apply(B, difference(B, N)) == N``, byte for byte.
 
-    Python takes 1, 1.0 and True for equal, and these have different digests,
-    so what was found is applied before it is returned.
+    In Python 1, 1.0 and True are equal, but their JSON texts have different
+    digests. So a difference is applied and the result compared with the newer
+    text before it is returned.
 
 Examples:
-    >>> made = difference(b'{"a":1,"b":{"c":2,"d":3}}', b'{"b":{"c":4}}')
-    >>> made.removals
+    >>> change = difference(b'{"a":1,"b":{"c":2,"d":3}}', b'{"b":{"c":4}}')
+    >>> change.removals
     (('a',), ('b', 'd'))
-    >>> made.settings
+    >>> change.settings
     (Setting(path=('b', 'c'), value=b'4'),)
 
 References:
@@ -32,11 +33,11 @@
 from laburnumsill.core import hashing
 
 Path = tuple[str, ...]
-_Same = abc.Callable[[typing.Any, typing.Any], bool]
+_Equality = abc.Callable[[typing.Any, typing.Any], bool]
 
 
 class UnfitDifferenceError(errors.ConflictError):
-    """A difference does not give what it promises on this base."""
+    """A difference cannot be applied to a base or gives a wrong digest."""
 
     slug = "unfit-difference"
     title = "The difference does not fit the version before"
@@ -44,11 +45,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Setting:
-    """One value that is set, at a path of keys from the root.
+    """A value that is set at a path.
 
     Attributes:
-        path: The keys; empty for the whole.
-        value: The value in JSON.
+        path: Keys from the root; empty for the whole document.
+        value: The value as JSON text.
     """
 
     path: Path
@@ -58,7 +59,7 @@
 @codec.register("configuration.difference")
 @dataclasses.dataclass(frozen=True, slots=True)
 class Difference:
-    """What makes a newer configuration of an older one.
+    """The changes from an older configuration to a newer one.
 
     Attributes:
         settings: Values that are set, in order of their paths.
@@ -70,21 +71,21 @@
 
     @property
     def size(self) -> int:
-        """How many bytes its paths and values have."""
-        paths = [*self.removals, *(one.path for one in self.settings)]
+        """Total length of its keys, in characters, and values, in bytes."""
+        paths = [*self.removals, *(setting.path for setting in self.settings)]
         keys = sum(len(key) for path in paths for key in path)
-        return keys + sum(len(one.value) for one in self.settings)
+        return keys + sum(len(setting.value) for setting in self.settings)
 
 
 class Document:
-    """Canonical JSON with the values that it stands for, never changed.
+    """Canonical JSON text with its parsed values; immutable.
 
-    A version after a version shares all values that are the same, so that
-    only the text of the whole is made anew.
+    `after` shares all unchanged values with the new document, so that only the
+    text is encoded as a whole.
 
     Attributes:
         text: The canonical JSON.
-        values: What it stands for; not to be changed.
+        values: The parsed values; must not be modified.
     """
 
     def __init__(self, text: bytes, values: typing.Any) -> None:
@@ -93,10 +94,10 @@
 
     @staticmethod
     def parse(text: bytes) -> "Document":
-        """Returns the document that JSON stands for.
+        """Returns the document for a JSON text.
 
         Raises:
-            UnfitDifferenceError: It is no JSON, so nothing applies to it.
+            UnfitDifferenceError: `text` is not JSON, so no difference applies.
         """
         try:
             return Document(text, orjson.loads(text))
@@ -104,17 +105,19 @@
             raise UnfitDifferenceError(f"no JSON: {failure}") from failure
 
     def after(self, change: Difference) -> "Document":
-        """Returns the document that `change` makes of this one.
+        """Returns the document with `change` applied.
 
         Raises:
-            UnfitDifferenceError: A path does not exist in this one.
+            UnfitDifferenceError: A path of `change` does not exist.
         """
         values = self.values
         try:
             for path in change.removals:
                 values = _without(values, path)
-            for one in change.settings:
-                values = _with(values, one.path, orjson.loads(one.value))
+            for setting in change.settings:
+                values = _with(
+                    values, setting.path, orjson.loads(setting.value)
+                )
             return Document(_text(values), values)
         except (LookupError, TypeError, ValueError) as failure:
             raise UnfitDifferenceError(f"cannot be applied: {failure!r}") from (
@@ -122,10 +125,10 @@
             )
 
     def after_checked(self, change: Difference, digest: str) -> "Document":
-        """Returns what `change` makes of this if it has the digest.
+        """Returns the document with `change` applied; checks its digest.
 
         Raises:
-            UnfitDifferenceError: It has not, or a path does not exist.
+            UnfitDifferenceError: The digest differs, or a path does not exist.
         """
         new = self.after(change)
         actual = hashing.digest(new.text)
@@ -137,29 +140,29 @@
 
 
 def difference(base: bytes, new: bytes) -> Difference | None:
-    """Returns what makes `new` of `base`.
+    """Returns the difference from `base` to `new`.
 
     Explanation:
-        Python's comparison is fast and nearly always right; where it is not,
-        applying shows it, and the texts are compared.
+        Compares values with the operator ``==`` first, which is fast. If the
+        result does not give `new`, as ``1 == True``, compares JSON texts.
 
     Returns:
-        None if there is no such difference: one of the two is not JSON, or
-        `new` is not in canonical form.
+        None if there is none, because one of the two is not JSON or `new` is
+        not in canonical form.
     """
     try:
         old, newer = Document.parse(base), Document.parse(new)
-        for same in (operator.eq, _same_text):
-            found = _difference_of(old.values, newer.values, same)
-            if old.after(found).text == new:
-                return found
+        for equal in (operator.eq, _equal_text):
+            change = _difference_of(old.values, newer.values, equal)
+            if old.after(change).text == new:
+                return change
     except (UnfitDifferenceError, orjson.JSONEncodeError):
         return None
     return None
 
 
 def apply(base: bytes, change: Difference) -> bytes:
-    """Returns the canonical JSON that `change` makes of `base`.
+    """Returns the canonical JSON of `base` with `change` applied.
 
     Raises:
         UnfitDifferenceError: A path does not exist in `base`.
@@ -168,20 +171,20 @@
 
 
 def apply_checked(base: bytes, change: Difference, digest: str) -> bytes:
-    """Returns what `change` makes of `base` if it has the promised digest.
+    """Returns `base` with `change` applied; checks the digest of the result.
 
     Raises:
-        UnfitDifferenceError: It has not, or a path does not exist in `base`.
+        UnfitDifferenceError: The digest differs, or a path does not exist.
     """
     return Document.parse(base).after_checked(change, digest).text
 
 
 def _difference_of(
-    base: typing.Any, new: typing.Any, same: _Same
+    base: typing.Any, new: typing.Any, equal: _Equality
 ) -> Difference:
     settings: list[Setting] = []
     removals: list[Path] = []
-    _compare((), base, new, same, settings, removals)
+    _compare((), base, new, equal, settings, removals)
     return Difference(tuple(settings), tuple(removals))
 
 
@@ -189,42 +192,48 @@
     path: Path,
     base: typing.Any,
     new: typing.Any,
-    same: _Same,
+    equal: _Equality,
     settings: list[Setting],
     removals: list[Path],
 ) -> None:
-    """Adds what differs at and below `path`."""
-    if same(base, new):
+    """Appends the differences at and below `path` to the two lists."""
+    if equal(base, new):
         return
     if not (isinstance(base, dict) and isinstance(new, dict)):
         settings.append(Setting(path, _text(new)))
         return
     removals.extend((*path, key) for key in sorted(base.keys() - new.keys()))
     for key in sorted(new):
-        below = (*path, key)
+        key_path = (*path, key)
         if key in base:
-            _compare(below, base[key], new[key], same, settings, removals)
+            _compare(key_path, base[key], new[key], equal, settings, removals)
         else:
-            settings.append(Setting(below, _text(new[key])))
+            settings.append(Setting(key_path, _text(new[key])))
 
 
-def _same_text(base: typing.Any, new: typing.Any) -> bool:
+def _equal_text(base: typing.Any, new: typing.Any) -> bool:
     return _text(base) == _text(new)
 
 
 def _with(values: typing.Any, path: Path, value: typing.Any) -> typing.Any:
-    """Returns `values` with `value` at `path`; shares all the rest."""
+    """Returns a copy of `values` with `value` at `path`.
+
+    The copy shares all values off the path.
+    """
     if not path:
         return value
-    copy = _copied(values)
-    below = value if len(path) == 1 else _with(values[path[0]], path[1:], value)
-    copy[path[0]] = below
+    copy = _shallow_copy(values)
+    child = value if len(path) == 1 else _with(values[path[0]], path[1:], value)
+    copy[path[0]] = child
     return copy
 
 
 def _without(values: typing.Any, path: Path) -> typing.Any:
-    """Returns `values` without the key at `path`; shares all the rest."""
-    copy = _copied(values)
+    """Returns a copy of `values` without the key at `path`.
+
+    The copy shares all values off the path.
+    """
+    copy = _shallow_copy(values)
     if len(path) == 1:
         del copy[path[0]]
     else:
@@ -232,12 +241,13 @@
     return copy
 
 
-def _copied(values: typing.Any) -> dict[str, typing.Any]:
+def _shallow_copy(values: typing.Any) -> dict[str, typing.Any]:
+    """Returns a shallow copy of a JSON object."""
     if not isinstance(values, dict):
         raise TypeError(f"a {type(values).__name__} is no object")
     return dict(values)
 
 
 def _text(value: typing.Any) -> bytes:
-    """Returns a value as canonical JSON, see `config.canonical`."""
+    """Returns the canonical JSON text of a value, see `config.canonical`."""
     return orjson.dumps(value, option=orjson.OPT_SORT_KEYS)
--- a/laburnumsill/config/models.py
+++ b/laburnumsill/config/models.py
@@ -1,8 +1,7 @@
-"""The configuration in force, as validated models.
+"""Validated models of the configuration.
 
-Operators write these as TOML, see `docs/OPERATIONS.md`. Lengths of time that
-operators set carry their unit in the name; the code turns them into
-deadlines where they are used.
+Operators write it as TOML, see `docs/OPERATIONS.md`. Names of durations end in
+their unit; the code that uses a duration computes the deadline from it.
 """
 
 import typing
@@ -20,7 +19,7 @@
 
 
 class Model(pydantic.BaseModel):
-    """Base of all models: immutable, and unknown keys are refused."""
+    """Base class of the models: immutable, refuses unknown keys."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -29,14 +28,16 @@
     """A class of requests.
 
     Attributes:
-        urgency: 0 is the most urgent; a lower class never holds up a higher.
-        reserved_share: Share of a server's slots kept for this class and
+        urgency: 0 is the most urgent; a request never waits behind a less
+            urgent one.
+        reserved_share: Share of a server's slots reserved for this class and
             more urgent ones.
-        timeout_ms: Time from arrival to the deadline unless the caller says.
-        max_wait_ms: Longest wait in the queue before it is refused.
-        max_queued: Longest queue on one VM.
-        repeatable: Whether running it twice is harmless.
-        durable: Whether it is kept until it has succeeded.
+        timeout_ms: Time from arrival to the deadline, unless the caller sets
+            one.
+        max_wait_ms: Time in the queue after which a request is refused.
+        max_queued: Length limit of the queue on one VM.
+        repeatable: Whether a request is idempotent.
+        durable: Whether a request is stored until it has succeeded.
     """
 
     urgency: int = pydantic.Field(ge=0, le=9)
@@ -49,13 +50,13 @@
 
 
 class Service(Model):
-    """A service that backend servers announce themselves for.
+    """A service that backend servers provide.
 
     Attributes:
-        slots: Requests that one backend server runs at a time.
-        connections: Connections that one backend server takes.
-        classes: The classes of its requests; the first is the default.
-        max_body_bytes: Largest request body.
+        slots: Number of requests that one backend server runs concurrently.
+        connections: Number of connections that one backend server accepts.
+        classes: Names of its request classes; the first is the default.
+        max_body_bytes: Size limit of a request body.
     """
 
     slots: int = pydantic.Field(default=8, ge=1, le=1024)
@@ -65,13 +66,13 @@
 
 
 class Shape(Model):
-    """Guaranteed capacity as cells, from whole racks down to accelerators.
+    """Guaranteed capacity as numbers of cells of each size.
 
     Attributes:
-        racks: Whole racks.
-        workers: Whole workers.
-        pairs: Pairs of accelerators on one worker.
-        accelerators: Single accelerators.
+        racks: Number of whole racks.
+        workers: Number of whole workers.
+        pairs: Number of pairs of accelerators on one worker.
+        accelerators: Number of single accelerators.
     """
 
     racks: Count = 0
@@ -84,10 +85,10 @@
     """A client account.
 
     Attributes:
-        weight: Its part of what is shared, relative to the others.
-        guarantee: Capacity that it can always reclaim, for each domain.
-        max_in_flight: Its requests in flight on one VM.
-        max_queued_jobs: Its jobs that wait, in one domain.
+        weight: Weight in the fair sharing of capacity.
+        guarantee: Capacity that it can always reclaim, by failure domain.
+        max_in_flight: Limit of its requests in flight on one VM.
+        max_queued_jobs: Limit of its queued jobs in one failure domain.
         may_borrow: Whether its jobs may use capacity beyond its guarantee.
     """
 
@@ -99,17 +100,20 @@
 
 
 class RequestPolicy(Model):
-    """How requests are routed.
+    """Policy for the routing of requests.
 
     Attributes:
         chooser: Name of the policy that chooses a backend server.
-        limiter: Name of the policy that limits work in flight at a server.
-        target_latency_ms: Latency that an adaptive limiter aims below.
-        max_attempts: Attempts of one repeatable request.
-        retry_budget: Retries allowed for each request, on average.
-        claim_retention_s: How long an ended claim is remembered.
-        max_stored_answer_bytes: Largest answer kept for resends.
-        durable_timeout_s: Time after which a durable request is given up.
+        limiter: Name of the policy that limits requests in flight at a
+            server.
+        target_latency_ms: Upper bound that an adaptive limiter targets for
+            the latency.
+        max_attempts: Limit of attempts for one repeatable request.
+        retry_budget: Limit of retries per request, on average.
+        claim_retention_s: Time for which an ended claim is stored.
+        max_stored_answer_bytes: Size limit of an answer that is stored for
+            resends.
+        durable_timeout_s: Time after which a durable request fails.
     """
 
     chooser: Name = "two-choices"
@@ -123,17 +127,20 @@
 
 
 class JobPolicy(Model):
-    """How jobs are placed.
+    """Policy for the placement of jobs.
 
     Attributes:
         completion_weight: Weight of job completion time in a placement.
         fragmentation_weight: Weight of fragmentation in a placement.
-        gang_wait_bound_s: Wait after which a rack is drained for a gang.
-        checkpoint_timeout_s: Time that a borrower has to checkpoint.
-        lease_s: Length of a lease; a task stops by itself when it ends.
-        max_tries: Tries of one job before it ends as failed.
-        bad_worker_jobs: Distinct jobs that fail on a worker before it is
-            set aside.
+        gang_wait_bound_s: Waiting time after which slots of a rack are
+            reserved for a gang.
+        checkpoint_timeout_s: Time for a borrower to checkpoint before it is
+            stopped.
+        lease_s: Duration of a lease; a task stops by itself when its lease
+            expires.
+        max_tries: Number of failed attempts after which a job fails.
+        bad_worker_jobs: Number of distinct jobs that fail on a worker before
+            it is quarantined.
     """
 
     completion_weight: Share = 0.5
@@ -146,19 +153,21 @@
 
 
 class MemberPolicy(Model):
-    """How announcements are kept.
+    """Timeouts of the failure detection for announced members.
 
     Attributes:
-        server_ttl_ms: Silence after which a backend server is gone.
-        worker_ttl_ms: Silence after which a worker is gone.
+        server_ttl_ms: Time since the last contact after which a backend
+            server is removed.
+        worker_ttl_ms: Time since the last contact after which a worker is
+            removed.
     """
 
     server_ttl_ms: Milliseconds = 2_000
     worker_ttl_ms: Milliseconds = 5_000
 
 
-def _unknown(key: str, kind: str, name: str) -> ValueError:
-    """Returns an error that carries its key and value for `toml_files`."""
+def _unknown_name(key: str, kind: str, name: str) -> ValueError:
+    """Returns a validation error with key and value for `toml_files`."""
     return pydantic_core.PydanticCustomError(
         "unknown_name",
         "{key}: no {kind} '{value}'",
@@ -167,11 +176,11 @@
 
 
 class Configuration(Model):
-    """The whole configuration of one site.
+    """The configuration of one site.
 
     Attributes:
-        site: The site's name.
-        domains: Failure domains that requests and jobs may have as home.
+        site: Name of the site.
+        domains: Failure domains that can be the home of requests and jobs.
         services: Services by name.
         classes: Request classes by name.
         accounts: Client accounts by name.
@@ -190,15 +199,18 @@
     members: MemberPolicy = MemberPolicy()
 
     @pydantic.model_validator(mode="after")
-    def _names_are_known(self) -> "Configuration":
+    def _check_references(self) -> "Configuration":
+        """Checks that all referenced classes and domains are defined."""
         for name, service in self.services.items():
             for cls in service.classes:
                 if cls not in self.classes:
-                    raise _unknown(f"services.{name}.classes", "class", cls)
+                    raise _unknown_name(
+                        f"services.{name}.classes", "class", cls
+                    )
         for name, account in self.accounts.items():
             for domain in account.guarantee:
                 if domain not in self.domains:
-                    raise _unknown(
+                    raise _unknown_name(
                         f"accounts.{name}.guarantee", "domain", domain
                     )
         return self
--- a/laburnumsill/config/tests/test_changed.py
+++ b/laburnumsill/config/tests/test_changed.py
@@ -31,7 +31,8 @@
     )
 
 
-def chain(*texts):
+def apply_differences(*texts):
+    """Returns the last document and the changes from each text to the next."""
     document, changes = difference.Document.parse(texts[0]), []
     for text in texts[1:]:
         changes.append(difference.difference(document.text, text))
@@ -41,13 +42,15 @@
 
 @hypothesis.given(st.lists(configurations(), min_size=1, max_size=4))
 @hypothesis.settings(max_examples=150, deadline=None, derandomize=True)
-def test_the_same_as_validating_everything(versions):
+def test_incremental_decoding_equals_full_decoding(versions):
     texts = [canonical.encode(version) for version in versions]
-    document, changes = chain(*texts)
-    found = changed.decode(canonical.decode(texts[0]), document, changes)
-    assert found == canonical.decode(texts[-1])
-    assert canonical.encode(found) == texts[-1]
-    assert list(found.accounts) == sorted(found.accounts)
+    document, changes = apply_differences(*texts)
+    configuration = changed.decode(
+        canonical.decode(texts[0]), document, changes
+    )
+    assert configuration == canonical.decode(texts[-1])
+    assert canonical.encode(configuration) == texts[-1]
+    assert list(configuration.accounts) == sorted(configuration.accounts)
 
 
 BASE = models.Configuration(
@@ -75,7 +78,7 @@
         ((), b"[]"),
     ],
 )
-def test_what_does_not_validate_is_refused(path, value):
+def test_invalid_changes_are_refused(path, value):
     change = difference.Difference((difference.Setting(path, value),))
     base = difference.Document.parse(canonical.encode(BASE))
     new = base.after(change)
--- a/laburnumsill/config/tests/test_difference.py
+++ b/laburnumsill/config/tests/test_difference.py
@@ -30,24 +30,24 @@
 
 @hypothesis.given(VALUES, VALUES)
 @hypothesis.settings(max_examples=400, deadline=None, derandomize=True)
-def test_applied_it_gives_the_newer_also_after_travelling(base, new):
-    made = difference.difference(text(base), text(new))
-    made = codec.decode(codec.encode(made))
+def test_difference_survives_encoding_and_gives_the_newer_text(base, new):
+    change = difference.difference(text(base), text(new))
+    change = codec.decode(codec.encode(change))
     digest = hashing.digest(text(new))
-    assert difference.apply_checked(text(base), made, digest) == text(new)
-    assert made == difference.difference(text(base), text(new))
-    assert (made == difference.Difference()) == (text(base) == text(new))
+    assert difference.apply_checked(text(base), change, digest) == text(new)
+    assert change == difference.difference(text(base), text(new))
+    assert (change == difference.Difference()) == (text(base) == text(new))
 
 
 @hypothesis.given(VALUES, VALUES, VALUES)
 @hypothesis.settings(max_examples=200, deadline=None, derandomize=True)
-def test_on_another_base_it_gives_the_promised_or_a_typed_error(
+def test_another_base_gives_the_newer_text_or_unfit_difference(
     base, new, other
 ):
-    made = difference.difference(text(base), text(new))
+    change = difference.difference(text(base), text(new))
     digest = hashing.digest(text(new))
     try:
-        applied = difference.apply_checked(text(other), made, digest)
+        applied = difference.apply_checked(text(other), change, digest)
     except difference.UnfitDifferenceError:
         return
     assert applied == text(new)
@@ -56,12 +56,14 @@
 def test_one_change_among_many_is_small():
     base = {"accounts": {f"a{n}": {"weight": 1.0} for n in range(690)}}
     new = {"accounts": {**base["accounts"], "a7": {"weight": 2.0}}}
-    made = difference.difference(text(base), text(new))
-    assert [one.path for one in made.settings] == [("accounts", "a7", "weight")]
-    assert made.size == len("accountsa7weight2.0")
+    change = difference.difference(text(base), text(new))
+    assert [setting.path for setting in change.settings] == [
+        ("accounts", "a7", "weight")
+    ]
+    assert change.size == len("accountsa7weight2.0")
 
 
 @pytest.mark.parametrize("new", [b'{"a": 1}', b'{"b":1,"a":1}', b"{", b""])
-def test_what_is_not_canonical_has_no_difference(new):
+def test_text_that_is_not_canonical_has_no_difference(new):
     assert difference.difference(b"{}", new) is None
     assert difference.difference(b"{", b"{}") is None
--- a/laburnumsill/config/tests/test_loading.py
+++ b/laburnumsill/config/tests/test_loading.py
@@ -35,7 +35,7 @@
     return loading.load(folder / "base.toml", folder / "site.toml")
 
 
-def test_overlay_sets_what_differs(tmp_path):
+def test_overlay_values_replace_base_values(tmp_path):
     text = "[jobs]\nlease_s = 5\n[accounts.new]\nweight = 2.0\n"
     text += "[accounts.lakeside.guarantee.north]\nracks = 1\n"
     configuration = load(tmp_path, BASE, SITE + text)
@@ -75,7 +75,9 @@
         ("jobs.lease_s = 5\njobs.lease_s = 6", INVALID, ""),
     ],
 )
-def test_a_bad_overlay_names_the_spot(tmp_path, text, error, key):
+def test_error_of_an_invalid_overlay_names_file_and_key(
+    tmp_path, text, error, key
+):
     with pytest.raises(error) as caught:
         load(tmp_path, BASE, SITE + text)
     assert type(caught.value) is error
@@ -84,7 +86,7 @@
     assert "\n" not in str(caught.value)
 
 
-def test_a_bad_value_of_the_base_is_told_from_the_overlay(tmp_path):
+def test_error_of_an_invalid_base_value_names_the_base_file(tmp_path):
     base = BASE.replace("lease_s = 10", "lease_s = 0")
     with pytest.raises(toml_files.InvalidFileError) as caught:
         load(tmp_path, base, SITE)
@@ -94,7 +96,7 @@
         load(tmp_path, BASE.replace('["accounts",', '[7, "accounts",'), SITE)
 
 
-def test_files_that_cannot_be_read(tmp_path):
+def test_unreadable_files_are_refused(tmp_path):
     with pytest.raises(toml_files.MissingFileError, match="none.toml"):
         loading.load(tmp_path / "none.toml", None)
     with pytest.raises(toml_files.MissingFileError):
@@ -120,24 +122,24 @@
             for account in configuration.accounts.values()
             if domain in account.guarantee
         ]
-        promised = sum(
+        guaranteed = sum(
             16 * shape.racks
             + 8 * shape.workers
             + 2 * shape.pairs
             + shape.accelerators
             for shape in shapes
         )
-        assert 0 < promised <= 16
+        assert 0 < guaranteed <= 16
 
 
 def test_canonical_form_is_stable():
-    one = loading.load(
+    configuration = loading.load(
         EXAMPLES / "base.toml", EXAMPLES / "fingal" / "site.toml"
     )
-    raw = canonical.encode(one)
-    assert canonical.decode(raw) == one
+    raw = canonical.encode(configuration)
+    assert canonical.decode(raw) == configuration
     assert canonical.encode(canonical.decode(raw)) == raw
-    shuffled = dict(reversed(list(one.model_dump().items())))
+    shuffled = dict(reversed(list(configuration.model_dump().items())))
     other = canonical.from_values(shuffled)
     assert canonical.digest(canonical.encode(other)) == canonical.digest(raw)
 
@@ -145,7 +147,7 @@
 @pytest.mark.parametrize(
     "raw", [b"", b"[]", b"{", b'{"site": "a"}', b'{"site":"A","domains":["b"]}']
 )
-def test_bytes_that_are_no_configuration(raw):
+def test_bytes_that_are_not_a_configuration_are_refused(raw):
     with pytest.raises(canonical.UnreadableConfigurationError) as caught:
         canonical.decode(raw)
     assert caught.value.context["expected"]
