--- a/laburnumsill/clients/http_pools.py
+++ b/laburnumsill/clients/http_pools.py
@@ -1,12 +1,13 @@
-"""HTTP connections that are kept open, a pool for each address.
+"""Persistent HTTP connections, with one pool for each address.
 
-A pool looks through all its connections at each call, so there is one for
-each worker instead of one for all.
+A pool of httpcore scans all its connections at each call, so there is one pool
+for each worker instead of one for all.
 
-Connections may go silent for good, without a reset and all at once, while new
-ones work. A request without an answer closes those that carry nothing; if a
-later one is answered, the requests that were under way before are given up,
-since their connections are most likely silent too.
+All connections to an address may go silent at the same time, permanently and
+without a reset, while new ones work. So after a request that timed out, idle
+connections are closed and the requests in flight are suspected. Once a later
+request is answered, the suspected requests are cancelled, since their
+connections are most likely silent too.
 """
 
 import collections
@@ -24,7 +25,7 @@
 
 
 class NoResponseError(errors.OutcomeUnknownError):
-    """No response came; the request may have been carried out."""
+    """No response came; the request may have been executed."""
 
     slug = "no-response"
     title = "No response came"
@@ -32,19 +33,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PoolLimits:
-    """Bounds of the connections.
+    """Limits and timeouts of the connections.
 
     Attributes:
-        connections: Most connections to one address.
-        keep_alive_s: An idle connection is kept for so long, in seconds.
-        connect_within_s: Longest time to connect, in seconds.
-        pools: Addresses whose connections are kept; the longest unused goes
-            first.
+        connections: Maximum number of connections to one address.
+        keep_alive_s: Time after which an idle connection is closed, in
+            seconds.
+        connect_timeout_s: Timeout for a connection, in seconds.
+        pools: Number of pools above which the least recently used one is
+            closed.
     """
 
     connections: int
     keep_alive_s: float
-    connect_within_s: float
+    connect_timeout_s: float
     pools: int = 4_096
 
 
@@ -55,8 +57,11 @@
             await connection.aclose()
 
 
-class _Place:
-    """The connections to one address, and the requests under way there."""
+class _AddressPool:
+    """The connections to one address and the requests in flight on them.
+
+    Requests are numbered in the order in which they begin.
+    """
 
     def __init__(self, limits: PoolLimits) -> None:
         self.pool = httpcore.AsyncConnectionPool(
@@ -67,52 +72,52 @@
                 reset_streams.ResetStream
             ),
         )
-        self._under_way: dict[int, trio.CancelScope] = {}
+        self._in_flight: dict[int, trio.CancelScope] = {}
         self._numbers = itertools.count()
         self._suspected_below = 0
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is under way."""
-        return all(entry.is_idle() for entry in self.pool.connections)
+        """Whether no connection carries a request."""
+        return all(connection.is_idle() for connection in self.pool.connections)
 
     def begin(self, scope: trio.CancelScope) -> int:
-        """Notes a request that `scope` ends; returns its number."""
+        """Registers a request that `scope` cancels; returns its number."""
         number = next(self._numbers)
-        self._under_way[number] = scope
+        self._in_flight[number] = scope
         return number
 
     def end(self, number: int) -> None:
-        """Notes that a request is over."""
-        del self._under_way[number]
+        """Removes a request that has ended."""
+        del self._in_flight[number]
 
-    def answered(self, number: int) -> None:
-        """Gives up the suspected requests if a later one was answered."""
+    def record_response(self, number: int) -> None:
+        """Cancels the suspected requests if `number` began after them."""
         if number < self._suspected_below:
             return
-        for other, scope in self._under_way.items():
+        for other, scope in self._in_flight.items():
             if other < self._suspected_below:
                 scope.cancel()
         self._suspected_below = 0
 
     async def suspect_all(self) -> None:
-        """Closes what is idle and suspects what is under way."""
+        """Closes idle connections and suspects all requests in flight."""
         self._suspected_below = next(self._numbers)
         await close_idle(self.pool)
 
 
 class HttpPools:
-    """Sends requests over kept connections.
+    """Sends requests over persistent connections.
 
     Args:
         clock: The clock of the deadlines.
-        limits: Bounds of the connections.
+        limits: Limits and timeouts of the connections.
     """
 
     def __init__(self, clock: clocks.Clock, limits: PoolLimits) -> None:
         self._clock = clock
         self._limits = limits
-        self._places: collections.OrderedDict[str, _Place] = (
+        self._address_pools: collections.OrderedDict[str, _AddressPool] = (
             collections.OrderedDict()
         )
 
@@ -125,70 +130,70 @@
         content: bytes,
         deadline: float,
     ) -> httpcore.Response:
-        """Returns the response, whatever its status.
+        """Sends a request and returns its response, with any status.
 
         Raises:
-            NoResponseError: None came before the monotonic deadline, or the
-                address is none that can be used.
+            NoResponseError: No response came before the monotonic deadline,
+                or the address is not valid.
         """
         call = f"{method} {path} at {address}"
         url = _url(address, path)
         remaining = deadline - self._clock.monotonic()
-        await self._close_unused()
-        place = self._place_of(address)
+        await self._close_least_recent()
+        address_pool = self._pool_for(address)
         scope = trio.CancelScope()
-        number = place.begin(scope)
+        number = address_pool.begin(scope)
         try:
             with trio.move_on_after(max(0.0, remaining)), scope:
-                response = await place.pool.request(
+                response = await address_pool.pool.request(
                     method,
                     url,
                     headers=list(headers.items()),
                     content=content,
                     extensions={
-                        "timeout": {"connect": self._limits.connect_within_s}
+                        "timeout": {"connect": self._limits.connect_timeout_s}
                     },
                 )
-                place.answered(number)
+                address_pool.record_response(number)
                 return response
-        except (OSError, UnicodeError, *_LOST) as error:
+        except (OSError, UnicodeError, *_TRANSPORT_ERRORS) as error:
             raise NoResponseError(f"{call}: {error!r}") from error
         finally:
-            place.end(number)
+            address_pool.end(number)
         if scope.cancelled_caught:
             raise NoResponseError(f"{call}: its connection is silent")
-        await place.suspect_all()
+        await address_pool.suspect_all()
         raise NoResponseError(f"{call}: none in time")
 
     async def close(self) -> None:
         """Closes all connections."""
-        for place in self._places.values():
-            await place.pool.aclose()
-        self._places.clear()
-
-    def _place_of(self, address: str) -> _Place:
-        place = self._places.get(address)
-        if place is None:
-            place = _Place(self._limits)
-            self._places[address] = place
-        self._places.move_to_end(address)
-        return place
-
-    async def _close_unused(self) -> None:
-        """Closes the longest unused pool where there are too many."""
-        if len(self._places) <= self._limits.pools:
+        for address_pool in self._address_pools.values():
+            await address_pool.pool.aclose()
+        self._address_pools.clear()
+
+    def _pool_for(self, address: str) -> _AddressPool:
+        address_pool = self._address_pools.get(address)
+        if address_pool is None:
+            address_pool = _AddressPool(self._limits)
+            self._address_pools[address] = address_pool
+        self._address_pools.move_to_end(address)
+        return address_pool
+
+    async def _close_least_recent(self) -> None:
+        """Closes the least recently used pool if it is idle and surplus."""
+        if len(self._address_pools) <= self._limits.pools:
             return
-        address, place = next(iter(self._places.items()))
-        if place.is_idle:
-            del self._places[address]
-            await place.pool.aclose()
+        address, address_pool = next(iter(self._address_pools.items()))
+        if address_pool.is_idle:
+            del self._address_pools[address]
+            await address_pool.pool.aclose()
 
 
 def _url(address: str, path: str) -> httpcore.URL:
-    """Returns where a request goes.
+    """Returns the URL of a request.
 
     Raises:
-        NoResponseError: The address can not be part of a URL.
+        NoResponseError: The address cannot be part of a URL.
     """
     try:
         return httpcore.URL(f"http://{address}{path}")
@@ -196,7 +201,7 @@
         raise NoResponseError(f"{path} at {address!r}: {error}") from error
 
 
-_LOST = (
+_TRANSPORT_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
--- a/laburnumsill/clients/tests/test_http_pools.py
+++ b/laburnumsill/clients/tests/test_http_pools.py
@@ -10,7 +10,7 @@
 from laburnumsill.testing import proxy as proxies
 
 LIMITS = http_pools.PoolLimits(
-    connections=8, keep_alive_s=60.0, connect_within_s=1.0
+    connections=8, keep_alive_s=60.0, connect_timeout_s=1.0
 )
 PATIENCE_S = 0.2
 HELD_S = 0.7
--- a/laburnumsill/clients/worker.py
+++ b/laburnumsill/clients/worker.py
@@ -1,8 +1,8 @@
-"""Calls to workers: the tasks they run under leases.
+"""Client of workers, which run tasks under leases.
 
-Every call carries the fencing epoch of the placement and the wall-clock
-deadline of the lease; a worker refuses an older epoch, and a task stops by
-itself when its lease ends.
+Every call that changes a task carries the fencing epoch of its placement and
+the wall-clock expiry of its lease. A worker refuses an older epoch, and a task
+stops by itself when its lease expires.
 """
 
 import abc
@@ -18,20 +18,23 @@
 from laburnumsill.core import errors
 
 CONNECT_TIMEOUT_S = 1.0
-"""Longest time to connect to a worker, in seconds."""
+"""Timeout for a connection to a worker, in seconds."""
 
 KEEP_ALIVE_S = 30.0
+"""Time after which an idle connection is closed, in seconds."""
+
 MAX_CONNECTIONS = 16
-"""Connections to one worker."""
+"""Maximum number of connections to one worker."""
 
 MAX_POOLS = 4_096
-"""Workers whose connections are kept; the longest unused goes first."""
+"""Number of workers with open connections above which the least recently
+used pool is closed."""
 
 _GONE_SLUGS = frozenset({"task-state", "not-found", "lease-ended"})
 
 
 class Action(enum.StrEnum):
-    """What a worker can be asked to do with a task."""
+    """An action of a worker on a task."""
 
     START = "start"
     RENEW = "renew"
@@ -41,24 +44,24 @@
 
 
 class WorkerUnreachableError(errors.UnavailableError):
-    """No answer from a worker; it may have carried out the call."""
+    """No answer came from a worker; it may have executed the call."""
 
     slug = "worker-unreachable"
     title = "The worker did not answer"
 
 
 class WorkerRefusedError(errors.ConflictError):
-    """A worker refused a call and did nothing."""
+    """A worker refused a call without executing it."""
 
     slug = "worker-refused"
     title = "The worker refused the call"
 
 
 class TaskNotLiveError(WorkerRefusedError):
-    """The task is not prepared and not running on the worker.
+    """The task is neither prepared nor running on the worker.
 
-    The context holds its `state`, "" if the worker does not know it, and
-    the `ended_reason`.
+    The context has its last `state`, "" if the worker does not know the task,
+    and the `ended_reason`.
     """
 
     slug = "task-not-live"
@@ -66,18 +69,18 @@
 
     @property
     def state(self) -> str:
-        """The task's last state, or "" if the worker does not know it."""
+        """The task's last state, or "" if the worker does not know the task."""
         return str(self.context.get("state") or "")
 
 
 class TaskReport(pydantic.BaseModel):
-    """A task as its worker describes it.
+    """The state of a task, as reported by its worker.
 
     Attributes:
         state: ``prepared``, ``running``, ``succeeded``, ``failed`` or
             ``stopped``.
-        checkpointed_at: Wall time of its last whole checkpoint, or None.
-        ended_reason: Why it ended, empty while it is live.
+        checkpointed_at: Wall time of its last complete checkpoint, or None.
+        ended_reason: Reason for its end, None or empty while it is live.
     """
 
     model_config = pydantic.ConfigDict(extra="ignore", frozen=True)
@@ -93,7 +96,7 @@
 
     @property
     def live(self) -> bool:
-        """Whether it holds anything on its worker."""
+        """Whether the task is prepared or running."""
         return self.state in ("prepared", "running")
 
 
@@ -104,7 +107,7 @@
 
 
 class Prepare(pydantic.BaseModel):
-    """What a worker needs to know of a task before it is started."""
+    """The body of a prepare call, with all that is needed to start a task."""
 
     model_config = pydantic.ConfigDict(extra="forbid", frozen=True)
 
@@ -119,18 +122,18 @@
 
 
 class WorkerClient(abc.ABC):
-    """Calls to workers by their address; deadlines are monotonic points.
+    """Interface of clients that call workers by their address.
 
-    Each method raises `WorkerUnreachableError` where no answer came,
-    `TaskNotLiveError` where the task has ended or is unknown, and
-    `WorkerRefusedError` for any other refusal.
+    Deadlines are monotonic times. Each method raises `WorkerUnreachableError`
+    if no answer comes, `TaskNotLiveError` if the task has ended or is unknown,
+    and `WorkerRefusedError` for any other refusal.
     """
 
     @abc.abstractmethod
     async def prepare(
         self, address: str, task_id: str, order: Prepare, deadline: float
     ) -> TaskReport:
-        """Reserves for a task; nothing runs yet."""
+        """Reserves the accelerators of a task without starting it."""
 
     @abc.abstractmethod
     async def act(
@@ -147,21 +150,21 @@
 
         Args:
             address: ``host:port`` of the worker.
-            action: What to do.
+            action: The action.
             task_id: The task.
             epoch: The fencing epoch of its placement.
-            lease_deadline: Wall time up to which it may run.
-            deadline: Monotonic point after which no answer is waited for.
-            share: Part of full speed, for THROTTLE.
+            lease_deadline: Wall time at which its lease expires.
+            deadline: Monotonic time at which the call times out.
+            share: Fraction of full speed, for THROTTLE.
         """
 
     @abc.abstractmethod
     async def tasks(self, address: str, deadline: float) -> list[TaskReport]:
-        """Returns the tasks that a worker remembers."""
+        """Returns all tasks that a worker still has a record of."""
 
 
 class HttpWorkerClient(WorkerClient):
-    """Calls workers over HTTP with connections that are kept open."""
+    """Calls workers over HTTP with persistent connections."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._pools = http_pools.HttpPools(
@@ -174,7 +177,7 @@
     async def prepare(
         self, address: str, task_id: str, order: Prepare, deadline: float
     ) -> TaskReport:
-        """Reserves for a task, see the base class."""
+        """Reserves the accelerators of a task, see the base class."""
         raw = await self._call(
             "PUT",
             address,
@@ -182,7 +185,7 @@
             order.model_dump(),
             deadline,
         )
-        return _parsed(TaskReport, raw, address)
+        return _parse(TaskReport, raw, address)
 
     async def act(
         self,
@@ -194,7 +197,7 @@
         deadline: float,
         share: float = 1.0,
     ) -> TaskReport:
-        """Acts on a task, see the base class."""
+        """Executes an action on a task, see the base class."""
         body: dict[str, typing.Any] = {
             "epoch": epoch,
             "lease_deadline": lease_deadline,
@@ -204,12 +207,12 @@
         raw = await self._call(
             "POST", address, f"/tasks/{task_id}/{action}", body, deadline
         )
-        return _parsed(TaskReport, raw, address)
+        return _parse(TaskReport, raw, address)
 
     async def tasks(self, address: str, deadline: float) -> list[TaskReport]:
         """Returns a worker's tasks, see the base class."""
         raw = await self._call("GET", address, "/tasks", None, deadline)
-        return _parsed(_TaskList, raw, address).tasks
+        return _parse(_TaskList, raw, address).tasks
 
     async def close(self) -> None:
         """Closes all connections."""
@@ -242,7 +245,12 @@
 ModelT = typing.TypeVar("ModelT", bound=pydantic.BaseModel)
 
 
-def _parsed(model: type[ModelT], raw: bytes, address: str) -> ModelT:
+def _parse(model: type[ModelT], raw: bytes, address: str) -> ModelT:
+    """Returns the parsed body of an answer.
+
+    Raises:
+        WorkerRefusedError: The body does not fit the model.
+    """
     try:
         return model.model_validate_json(raw)
     except pydantic.ValidationError as error:
@@ -269,11 +277,11 @@
 
 
 def indexes(mask: int, count: int) -> list[int]:
-    """Returns the first `count` accelerators of a mask.
+    """Returns the indexes of the first `count` bits set in a mask.
 
     Examples:
         >>> indexes(0b10110, 2)
         [1, 2]
     """
-    found = [bit for bit in range(mask.bit_length()) if mask >> bit & 1]
-    return found[: min(count, len(found))]
+    bits = [bit for bit in range(mask.bit_length()) if mask >> bit & 1]
+    return bits[: min(count, len(bits))]
--- a/laburnumsill/clients/wrapped_streams.py
+++ b/laburnumsill/clients/wrapped_streams.py
@@ -1,4 +1,4 @@
-"""Network streams around other ones, for what httpcore's own do not do."""
+"""Wrappers that add behaviour to the network streams of httpcore."""
 
 import typing
 from collections import abc
@@ -7,10 +7,10 @@
 
 
 class WrappedStream(httpcore.AsyncNetworkStream):
-    """A stream that hands everything on; subclasses look at what passes.
+    """A stream that delegates to another; subclasses override methods.
 
     Args:
-        stream: The stream it reads from and writes to.
+        stream: The underlying stream.
     """
 
     def __init__(self, stream: httpcore.AsyncNetworkStream) -> None:
@@ -29,15 +29,15 @@
         await self._stream.aclose()
 
     def get_extra_info(self, info: str) -> typing.Any:
-        """Returns what the stream says."""
+        """Returns information about the stream, see httpcore."""
         return self._stream.get_extra_info(info)
 
 
 class WrappingBackend(httpcore.AsyncNetworkBackend):
-    """Connects over TCP and wraps each stream.
+    """A network backend that connects over TCP and wraps each stream.
 
     Args:
-        wrap: Returns the stream around one that was connected.
+        wrap: Returns the wrapper of a newly connected stream.
     """
 
     def __init__(
@@ -62,5 +62,5 @@
         return self._wrap(stream)
 
     async def sleep(self, seconds: float) -> None:
-        """Sleeps."""
+        """Sleeps, see httpcore."""
         await self._backend.sleep(seconds)
