--- a/laburnumsill/clients/backend.py
+++ b/laburnumsill/clients/backend.py
@@ -36,7 +36,7 @@
 the attempt on another server if this one accepts no connections."""
 
 KEEP_ALIVE_S = 30.0
-"""Time after which an idle connection is closed."""
+"""Time after which an idle connection is closed, in seconds."""
 
 REQUEST_ID_HEADER = b"laburnumsill-request-id"
 
@@ -47,9 +47,11 @@
 stalled the entry for 0.3 s, healthy servers were ejected and requests refused
 because no server was left."""
 
+# Events of httpcore's `trace` extension.
 _CONNECTING = "connection.connect_tcp.started"
 _CONNECTED = "connection.connect_tcp.complete"
 _WRITING = "http11.send_request_headers.started"
+
 BODILESS_STATUSES = frozenset({204, 304})
 """Statuses of answers without a body and its length, RFC 9110."""
 
@@ -71,7 +73,7 @@
 
 
 class AnswerLostError(errors.OutcomeUnknownError):
-    """The request was sent, at least in part, without a complete answer."""
+    """The request was at least partly sent and no complete answer came."""
 
     slug = "answer-lost"
     title = "The backend server's answer was lost"
@@ -92,7 +94,7 @@
 
 
 class CrossedAnswerError(AnswerLostError):
-    """The answer has the id of another request."""
+    """The answer has the ID of another request."""
 
     slug = "crossed-answer"
     title = "The backend server answered another request"
--- a/laburnumsill/clients/http_pools.py
+++ b/laburnumsill/clients/http_pools.py
@@ -60,7 +60,8 @@
 class _AddressPool:
     """The connections to one address and the requests in flight on them.
 
-    Requests are numbered in the order in which they begin.
+    Requests are numbered in the order in which they begin. Those below
+    `_suspected_below` may be on silent connections.
     """
 
     def __init__(self, limits: PoolLimits) -> None:
--- a/laburnumsill/clients/tests/test_backend.py
+++ b/laburnumsill/clients/tests/test_backend.py
@@ -245,12 +245,12 @@
     assert scripted.connections == 2
 
 
-@pytest.mark.parametrize("turns", range(8))
-async def test_a_loop_that_was_held_up_blames_no_server(turns):
+@pytest.mark.parametrize("checkpoints", range(8))
+async def test_a_loop_that_was_held_up_blames_no_server(checkpoints):
     """A stall of this process while it connects is not a connect failure."""
 
     async def stall():
-        for _ in range(turns):
+        for _ in range(checkpoints):
             await trio.lowlevel.checkpoint()
         time.sleep(1.5 * backend.CONNECT_TIMEOUT_S)  # noqa: ASYNC251
 
--- a/laburnumsill/config/difference.py
+++ b/laburnumsill/config/difference.py
@@ -144,7 +144,8 @@
 
     Explanation:
         Compares values with the operator ``==`` first, which is fast. If the
-        result does not give `new`, as ``1 == True``, compares JSON texts.
+        result does not give `new`, for example because ``1 == True``, compares
+        the JSON texts of the values.
 
     Returns:
         None if there is none, because one of the two is not JSON or `new` is
--- a/laburnumsill/config/models.py
+++ b/laburnumsill/config/models.py
@@ -85,7 +85,7 @@
     """A client account.
 
     Attributes:
-        weight: Weight in the fair sharing of capacity.
+        weight: Weight in fair sharing, relative to the other accounts.
         guarantee: Capacity that it can always reclaim, by failure domain.
         max_in_flight: Limit of its requests in flight on one VM.
         max_queued_jobs: Limit of its queued jobs in one failure domain.
