--- a/laburnumsill/consensus/engine.py
+++ b/laburnumsill/consensus/engine.py
@@ -4,8 +4,8 @@
 
 from laburnumsill.consensus import election
 from laburnumsill.consensus import engine_errors
-from laburnumsill.consensus import following
-from laburnumsill.consensus import leading
+from laburnumsill.consensus import follower_state
+from laburnumsill.consensus import leader_state
 from laburnumsill.consensus import options as options_module
 from laburnumsill.consensus import progress as progress_module
 from laburnumsill.consensus import replica as replica_module
@@ -91,7 +91,7 @@
         self._replica = replica_module.Replica(
             group, me, stored, options, now, random
         )
-        self._follower = following.Follower(self._replica)
+        self._follower = follower_state.Follower(self._replica)
         self._role = roles.Role(self._replica)
         self._last_read_id = 0
 
@@ -354,7 +354,7 @@
             self._role.leadership.flush()
         return self._replica.take_output()
 
-    def _leadership_for_proposal(self, now: float) -> leading.Leadership:
+    def _leadership_for_proposal(self, now: float) -> leader_state.Leadership:
         """Returns the leader state if this replica accepts proposals.
 
         Raises:
@@ -373,7 +373,7 @@
             f"too few voters of group {self._replica.group} can write"
         )
 
-    def _check_quorum(self, now: float) -> leading.Leadership | None:
+    def _check_quorum(self, now: float) -> leader_state.Leadership | None:
         self._replica.now = now
         return self._role.check_quorum()
 
--- a/laburnumsill/consensus/group.py
+++ b/laburnumsill/consensus/group.py
@@ -16,10 +16,10 @@
 
 from laburnumsill.consensus import engine as engines
 from laburnumsill.consensus import group_apply
-from laburnumsill.consensus import group_lead
-from laburnumsill.consensus import group_promises
+from laburnumsill.consensus import group_leadership
 from laburnumsill.consensus import group_ticks
 from laburnumsill.consensus import group_waiters
+from laburnumsill.consensus import held_messages
 from laburnumsill.consensus import store
 from laburnumsill.consensus import types
 from laburnumsill.core import clock as clocks
@@ -92,12 +92,12 @@
         self._queued_changes = 0
         self._stored_changes = 0
         self._hard_state_change = 0
-        self._held_messages = group_promises.HeldMessages()
+        self._held_messages = held_messages.HeldMessages()
         self._change_queued = trio.Event()
         self._change_stored = trio.Event()
         self._is_bootstrapping = False
         self._next_snapshot_at = -math.inf
-        self._leadership = group_lead.LeadershipState(name)
+        self._leadership = group_leadership.LeadershipState(name)
         self._reported_membership_index = 0
         self._engine = self._new_engine(replica_store.stored)
 
@@ -425,7 +425,7 @@
 
     def _required_change(self, message: types.Message) -> int:
         """Returns the number of the change that must be stored first."""
-        if message.kind in group_promises.UNSYNCED_KINDS:
+        if message.kind in held_messages.UNSYNCED_KINDS:
             return self._hard_state_change
         return self._queued_changes
 
--- a/laburnumsill/consensus/host.py
+++ b/laburnumsill/consensus/host.py
@@ -10,11 +10,11 @@
 from laburnumsill.consensus import engine as engines
 from laburnumsill.consensus import forwarded
 from laburnumsill.consensus import group as groups
-from laburnumsill.consensus import host_forward
-from laburnumsill.consensus import host_members
 from laburnumsill.consensus import host_messages
 from laburnumsill.consensus import host_replicas
 from laburnumsill.consensus import host_status
+from laburnumsill.consensus import leader_forwarder
+from laburnumsill.consensus import membership_manager
 from laburnumsill.consensus import voter_choice
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import codec
@@ -85,7 +85,7 @@
         self._replicas = host_replicas.Replicas(
             me.vm_id, network, make_machine, data_folder, clock, options, limits
         )
-        self._membership_manager = host_members.MembershipManager(
+        self._membership_manager = membership_manager.MembershipManager(
             me.vm_id,
             topology.first_groups(vms) if first is None else first,
             frozenset(vm.vm_id for vm in vms if vm.has_disk),
@@ -94,7 +94,7 @@
             options,
             choice,
         )
-        self._forwarder = host_forward.Forwarder(
+        self._forwarder = leader_forwarder.Forwarder(
             me.vm_id, network, clock, self._leader_of, self._replica_vms
         )
         self._discovering: set[str] = set()
@@ -137,7 +137,7 @@
                 f"the command has {len(raw)} bytes, {MAX_COMMAND_BYTES} allowed"
             )
         wall = self._clock.wall_deadline(deadline)
-        request = host_forward.LeaderRequest(
+        request = leader_forwarder.LeaderRequest(
             group,
             forwarded.ForwardedProposal(group, raw, wall),
             functools.partial(self._propose_locally, group, raw),
@@ -150,7 +150,7 @@
     ) -> typing.Any:
         """Answers a query; see the base class."""
         wall = self._clock.wall_deadline(deadline)
-        request = host_forward.LeaderRequest(
+        request = leader_forwarder.LeaderRequest(
             group,
             forwarded.ForwardedQuery(group, codec.encode(query), wall),
             functools.partial(self._query_locally, group, query),
@@ -229,7 +229,7 @@
             errors.UnavailableError: The transfer did not end in time.
         """
         wall = self._clock.wall_deadline(deadline)
-        request = host_forward.LeaderRequest(
+        request = leader_forwarder.LeaderRequest(
             group,
             host_messages.TransferOrder(group, vm, wall),
             functools.partial(self._transfer_locally, group, vm),
@@ -382,7 +382,7 @@
         outcome = await self._propose_locally(
             request.group, request.command, deadline
         )
-        return host_forward.answer_of(outcome)
+        return leader_forwarder.answer_of(outcome)
 
     async def _on_query(
         self, request: forwarded.ForwardedQuery
@@ -390,7 +390,7 @@
         deadline = self._clock.monotonic_deadline(request.deadline)
         query = codec.decode(request.query)
         outcome = await self._query_locally(request.group, query, deadline)
-        return host_forward.answer_of(outcome)
+        return leader_forwarder.answer_of(outcome)
 
     async def _on_transfer(
         self, request: host_messages.TransferOrder
@@ -399,7 +399,7 @@
         outcome = await self._transfer_locally(
             request.group, request.vm, deadline
         )
-        return host_forward.answer_of(outcome)
+        return leader_forwarder.answer_of(outcome)
 
     async def _on_hello(
         self, hello: host_messages.Hello
--- a/laburnumsill/consensus/host_forward.py
+++ b/laburnumsill/consensus/leader_forwarder.py
@@ -17,7 +17,7 @@
 
 from laburnumsill.consensus import engine_errors
 from laburnumsill.consensus import forwarded
-from laburnumsill.consensus import lead_watch
+from laburnumsill.consensus import leader_tracker
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import codec
 from laburnumsill.core import errors
@@ -29,7 +29,7 @@
 MAX_BACKOFF_S = 0.05
 """Longest pause between two calls while no leader is known, in seconds. On
 average a new leader is called half of this after its election. Requests wait
-at most one second for a leader, see `lead_watch`."""
+at most one second for a leader, see `leader_tracker`."""
 
 MAX_REDIRECTS = 3
 """Number of leader hints followed without a pause. The limit stops a loop
@@ -99,7 +99,7 @@
         self._replica_vms = replica_vms
         self._max_call_timeout_s = max_call_timeout_s
         self._hints: dict[str, str] = {}
-        self._watches: dict[str, lead_watch.LeadWatch] = {}
+        self._trackers: dict[str, leader_tracker.LeaderTracker] = {}
         self._round_robin = itertools.count()
 
     async def forward(self, request: LeaderRequest) -> typing.Any:
@@ -116,7 +116,7 @@
         last_error: errors.LaburnumsillError | None = None
         backoff = INITIAL_BACKOFF_S
         redirects = 0
-        watch = self._watch(request.group)
+        tracker = self._tracker(request.group)
         wait_deadline = self._wait_deadline(request)
         while self._can_retry(
             request, wait_deadline, called=last_error is not None
@@ -134,21 +134,23 @@
             except NOT_COMMITTED as error:
                 last_error = error
                 if isinstance(error, engine_errors.NotLeaderError):
-                    watch.heard(vm)
+                    tracker.on_answer(vm)
                 elif isinstance(error, engine_errors.LeadUnconfirmedError):
-                    watch.unanswered(vm, self._clock.monotonic())
+                    tracker.on_no_answer(vm, self._clock.monotonic())
             except errors.LaburnumsillError as error:
                 unknown_error = last_error = error
-                watch.unanswered(vm, self._clock.monotonic())
+                tracker.on_no_answer(vm, self._clock.monotonic())
                 if not request.read_only:
                     wait_deadline = request.deadline
             else:
                 self._hints[request.group] = vm
-                watch.answered(vm, started_at, self._clock.monotonic())
+                tracker.on_leader_answer(
+                    vm, started_at, self._clock.monotonic()
+                )
                 if outcome.refusal is not None:
                     raise outcome.refusal
                 return outcome.result
-            watch.missed(self._clock.monotonic())
+            tracker.on_no_leader(self._clock.monotonic())
             redirects += 1
             redirected = self._record_hint(request.group, vm, last_error)
             if not redirected or redirects > MAX_REDIRECTS:
@@ -207,15 +209,15 @@
         """Returns the deadline of one call, in monotonic seconds."""
         if self._max_call_timeout_s is None:
             return request.deadline
-        attempt_s = self._watch(request.group).attempt_s
-        return min(request.deadline, self._clock.monotonic() + attempt_s)
+        call_timeout_s = self._tracker(request.group).call_timeout_s
+        return min(request.deadline, self._clock.monotonic() + call_timeout_s)
 
     def _wait_deadline(self, request: LeaderRequest) -> float:
         """Returns when the wait for a leader ends, in monotonic seconds."""
         if self._max_call_timeout_s is None:
             return request.deadline
-        watch = self._watch(request.group)
-        leader_deadline = watch.worth_waiting_until(self._clock.monotonic())
+        tracker = self._tracker(request.group)
+        leader_deadline = tracker.wait_deadline(self._clock.monotonic())
         return min(request.deadline, leader_deadline)
 
     def _can_retry(
@@ -227,17 +229,20 @@
         into an unknown one.
         """
         now = self._clock.monotonic()
-        if called and now > request.deadline - lead_watch.SHORTEST_ATTEMPT_S:
+        if (
+            called
+            and now > request.deadline - leader_tracker.MIN_CALL_TIMEOUT_S
+        ):
             return False
         return now < wait_deadline
 
-    def _watch(self, group: str) -> lead_watch.LeadWatch:
-        if group not in self._watches:
+    def _tracker(self, group: str) -> leader_tracker.LeaderTracker:
+        if group not in self._trackers:
             max_timeout_s = (
-                self._max_call_timeout_s or lead_watch.ELECTION_WITHIN_S
+                self._max_call_timeout_s or leader_tracker.ELECTION_WAIT_S
             )
-            self._watches[group] = lead_watch.LeadWatch(max_timeout_s)
-        return self._watches[group]
+            self._trackers[group] = leader_tracker.LeaderTracker(max_timeout_s)
+        return self._trackers[group]
 
     def _choose_vm(self, request: LeaderRequest, now: float) -> str:
         """Returns the presumed leader, else the next VM in turn.
@@ -250,13 +255,13 @@
         Queries still reach them and detect when they answer again.
         """
         group = request.group
-        watch = self._watch(group)
+        tracker = self._tracker(group)
         leader = self._leader(group) or self._hints.get(group)
-        if leader is not None and not watch.is_silent(leader, now):
+        if leader is not None and not tracker.in_retry_delay(leader, now):
             return leader
         vms = self._replica_vms(group)
         if not request.read_only:
-            vms = [vm for vm in vms if not watch.was_silent(vm)] or vms
+            vms = [vm for vm in vms if not tracker.is_unanswered(vm)] or vms
         return vms[next(self._round_robin) % len(vms)]
 
     def _record_hint(
@@ -274,7 +279,7 @@
             return False
         self._hints[group] = error.leader
         now = self._clock.monotonic()
-        if self._watch(group).is_silent(error.leader, now):
+        if self._tracker(group).in_retry_delay(error.leader, now):
             return False
         return self._leader(group) is None
 
--- a/laburnumsill/consensus/leading.py
+++ b/laburnumsill/consensus/leader_state.py
@@ -3,7 +3,7 @@
 from laburnumsill.consensus import engine_errors
 from laburnumsill.consensus import membership as membership_module
 from laburnumsill.consensus import progress as progress_module
-from laburnumsill.consensus import reads
+from laburnumsill.consensus import read_queue
 from laburnumsill.consensus import replica as replica_module
 from laburnumsill.consensus import snapshot_receiver
 from laburnumsill.consensus import types
@@ -23,7 +23,7 @@
     def __init__(self, replica: replica_module.Replica) -> None:
         self.progress: dict[types.ReplicaId, progress_module.Progress] = {}
         self._replica = replica
-        self._reads = reads.ReadQueue()
+        self._reads = read_queue.ReadQueue()
         self._heartbeat_at = replica.now
         self._transfer_to: types.ReplicaId | None = None
         self._transfer_deadline = replica.now
--- a/laburnumsill/consensus/lead_watch.py
+++ b/laburnumsill/consensus/leader_tracker.py
@@ -12,11 +12,11 @@
 
 from laburnumsill.core import learnt_wait
 
-SHORTEST_ATTEMPT_S = 0.1
+MIN_CALL_TIMEOUT_S = 0.1
 """Minimum timeout of a call to one VM: ten times the duration of a commit on an
 idle site."""
 
-ELECTION_WITHIN_S = 1.0
+ELECTION_WAIT_S = 1.0
 """Wait for a new leader after a failure. It covers a follower's election timer
 of 0.3 to 0.6 s on a usual network, pre-vote and vote, and the first commit. The
 election timer takes 0.8 to 1.6 s while the adaptive timeout has no samples."""
@@ -29,65 +29,65 @@
 """Minimum wait of each call, enough to call each of three to five VMs once."""
 
 
-class LeadWatch:
+class LeaderTracker:
     """Availability of one group's leader, as seen from one VM.
 
     Args:
-        longest_attempt_s: Maximum timeout of a call to one VM.
+        max_call_timeout_s: Maximum timeout of a call to one VM.
 
     Examples:
-        >>> watch = LeadWatch(0.3)
-        >>> watch.worth_waiting_until(10.0)
+        >>> tracker = LeaderTracker(0.3)
+        >>> tracker.wait_deadline(10.0)
         11.0
-        >>> watch.missed(10.0)
-        >>> watch.worth_waiting_until(10.4), watch.worth_waiting_until(15.0)
+        >>> tracker.on_no_leader(10.0)
+        >>> tracker.wait_deadline(10.4), tracker.wait_deadline(15.0)
         (11.0, 15.15)
     """
 
-    def __init__(self, longest_attempt_s: float) -> None:
+    def __init__(self, max_call_timeout_s: float) -> None:
         self._no_leader_since: float | None = None
-        self._attempt_timeout = learnt_wait.LearntWait(
-            SHORTEST_ATTEMPT_S,
-            longest_attempt_s,
+        self._call_timeout = learnt_wait.LearntWait(
+            MIN_CALL_TIMEOUT_S,
+            max_call_timeout_s,
             learnt_wait.ANSWERS_BORNE,
         )
         self._unanswered_at: dict[str, float] = {}
 
     @property
-    def attempt_s(self) -> float:
+    def call_timeout_s(self) -> float:
         """Timeout of a call to one VM, in seconds."""
-        return self._attempt_timeout.seconds
+        return self._call_timeout.seconds
 
-    def worth_waiting_until(self, now: float) -> float:
+    def wait_deadline(self, now: float) -> float:
         """Returns the monotonic time until which a call waits for a leader."""
         no_leader_since = (
             now if self._no_leader_since is None else self._no_leader_since
         )
-        return max(no_leader_since + ELECTION_WITHIN_S, now + MIN_WAIT_S)
+        return max(no_leader_since + ELECTION_WAIT_S, now + MIN_WAIT_S)
 
-    def is_silent(self, vm: str, now: float) -> bool:
+    def in_retry_delay(self, vm: str, now: float) -> bool:
         """Returns whether a VM failed to answer within `RETRY_DELAY_S`."""
         return now < self._unanswered_at.get(vm, -math.inf) + RETRY_DELAY_S
 
-    def was_silent(self, vm: str) -> bool:
+    def is_unanswered(self, vm: str) -> bool:
         """Returns whether the last call to a VM was not answered."""
         return vm in self._unanswered_at
 
-    def answered(self, vm: str, asked_at: float, now: float) -> None:
+    def on_leader_answer(self, vm: str, asked_at: float, now: float) -> None:
         """Records that a VM answered as the leader."""
         self._no_leader_since = None
-        self.heard(vm)
-        self._attempt_timeout.note(now, now - asked_at)
+        self.on_answer(vm)
+        self._call_timeout.note(now, now - asked_at)
 
-    def heard(self, vm: str) -> None:
+    def on_answer(self, vm: str) -> None:
         """Records that a VM answered, whether or not it leads."""
         self._unanswered_at.pop(vm, None)
 
-    def unanswered(self, vm: str, now: float) -> None:
+    def on_no_answer(self, vm: str, now: float) -> None:
         """Records that a VM did not answer."""
         self._unanswered_at[vm] = now
 
-    def missed(self, now: float) -> None:
+    def on_no_leader(self, now: float) -> None:
         """Records that no leader was found."""
         if self._no_leader_since is None:
             self._no_leader_since = now
--- a/laburnumsill/consensus/host_members.py
+++ b/laburnumsill/consensus/membership_manager.py
@@ -10,11 +10,11 @@
 from collections import abc
 
 from laburnumsill.consensus import engine as engines
-from laburnumsill.consensus import founding
 from laburnumsill.consensus import group as groups
-from laburnumsill.consensus import group_make_up
+from laburnumsill.consensus import group_bootstrap
 from laburnumsill.consensus import host_messages
 from laburnumsill.consensus import host_recovery
+from laburnumsill.consensus import membership_change
 from laburnumsill.consensus import types
 from laburnumsill.consensus import voter_choice
 from laburnumsill.core import clock as clocks
@@ -76,7 +76,7 @@
         }
         self._desired_voters_set = False
         self._join_requests: dict[
-            str, dict[str, group_make_up.JoinRequest]
+            str, dict[str, membership_change.JoinRequest]
         ] = {}
         self._leader_seen_at: dict[str, float] = {}
         self._reported_leaders: dict[str, str] = {}
@@ -109,7 +109,7 @@
         group: groups.HostedGroup | None,
     ) -> host_messages.HelloAnswer:
         """Answers the hello of a replica and records its join request."""
-        request = group_make_up.JoinRequest(hello.replica, hello.with_disk)
+        request = membership_change.JoinRequest(hello.replica, hello.with_disk)
         requests = self._join_requests.setdefault(hello.group, {})
         requests[hello.replica.vm] = request
         requested_at = self._join_requested_at.setdefault(hello.group, {})
@@ -152,10 +152,12 @@
         vms.pop(self._me, None)
         hello = host_messages.Hello(name, group.me, group.with_disk)
         deadline = self._clock.monotonic() + HELLO_TIMEOUT_S
-        answers = await founding.send_hellos(self._peers, vms, hello, deadline)
+        answers = await group_bootstrap.send_hellos(
+            self._peers, vms, hello, deadline
+        )
         self._record_leader(name, answers)
         if group.is_fresh and self._is_bootstrap_vm(name):
-            membership = founding.initial_membership(
+            membership = group_bootstrap.initial_membership(
                 group.me, group.with_disk, initial_voters, answers
             )
             if membership is not None:
@@ -170,7 +172,9 @@
             for answer in answers.values()
         )
 
-    def _record_leader(self, name: str, answers: founding.Answers) -> None:
+    def _record_leader(
+        self, name: str, answers: group_bootstrap.Answers
+    ) -> None:
         self._reported_leaders.pop(name, None)
         with_leader = [answer for answer in answers.values() if answer.leader]
         if with_leader and not any(answer.member for answer in with_leader):
@@ -184,7 +188,7 @@
             Whether a change was proposed.
         """
         view = self._view(group)
-        change = group_make_up.next_change(view)
+        change = membership_change.next_change(view)
         if change is None:
             return False
         with contextlib.suppress(*_CHANGE_REFUSED):
@@ -201,7 +205,7 @@
         return False
 
     def _recover_if_due(
-        self, group: groups.HostedGroup, answers: founding.Answers
+        self, group: groups.HostedGroup, answers: group_bootstrap.Answers
     ) -> None:
         """Continues with the surviving voters if `host_recovery` allows it."""
         recovery = host_recovery.recovery_membership(
@@ -262,9 +266,14 @@
         initial_voters = self._initial_voters.get(name, ())
         if self._me not in initial_voters:
             return False
-        return founding.bootstrap_vm(initial_voters, self._disks) == self._me
+        return (
+            group_bootstrap.bootstrap_vm(initial_voters, self._disks)
+            == self._me
+        )
 
-    def _view(self, group: groups.HostedGroup) -> group_make_up.MembershipView:
+    def _view(
+        self, group: groups.HostedGroup
+    ) -> membership_change.MembershipView:
         engine = group.engine
         progress = engine.progress
         alive_after = self._clock.monotonic() - self._options.election_timeout_s
@@ -278,7 +287,7 @@
             for replica in alive
             if progress[replica].match + MAX_PROMOTION_LAG >= engine.last_index
         }
-        return group_make_up.MembershipView(
+        return membership_change.MembershipView(
             engine.membership,
             self._target_voters(group),
             self._join_requests.get(group.name, {}),
--- a/laburnumsill/consensus/options.py
+++ b/laburnumsill/consensus/options.py
@@ -13,8 +13,9 @@
     Attributes:
         election_timeout_s: Maximum election timeout, in seconds, before the
             random spread. A follower uses it until it has received enough
-            leader messages to adapt its timeout (see `patience`). A leader
-            steps down after this time without replies of a majority.
+            leader messages to adapt its timeout, see the module
+            `election_timeout`. A leader steps down after this time without
+            replies of a majority.
         heartbeat_s: Heartbeat interval of a leader, in seconds.
         max_append_bytes: Maximum entry bytes in one APPEND; a larger entry is
             sent alone.
--- a/laburnumsill/consensus/remote.py
+++ b/laburnumsill/consensus/remote.py
@@ -6,7 +6,7 @@
 
 from laburnumsill.consensus import engine_errors
 from laburnumsill.consensus import forwarded
-from laburnumsill.consensus import host_forward
+from laburnumsill.consensus import leader_forwarder
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import codec
 from laburnumsill.core import errors
@@ -37,7 +37,7 @@
     ) -> None:
         self._clock = clock
         self._hosts = hosts
-        self._forwarder = host_forward.Forwarder(
+        self._forwarder = leader_forwarder.Forwarder(
             me, peers, clock, lambda _: None, self._replica_vms, ATTEMPT_S
         )
 
@@ -77,9 +77,9 @@
 
     def _leader_request(
         self, group: str, message: object, deadline: float, read_only: bool
-    ) -> host_forward.LeaderRequest:
+    ) -> leader_forwarder.LeaderRequest:
         run_locally = functools.partial(_no_local_replica, group)
-        return host_forward.LeaderRequest(
+        return leader_forwarder.LeaderRequest(
             group, message, run_locally, deadline, read_only
         )
 
--- a/laburnumsill/consensus/roles.py
+++ b/laburnumsill/consensus/roles.py
@@ -1,9 +1,9 @@
 """The role of a replica in its term, and the transitions between roles."""
 
 from laburnumsill.consensus import election
+from laburnumsill.consensus import election_timeout
 from laburnumsill.consensus import engine_errors
-from laburnumsill.consensus import leading
-from laburnumsill.consensus import patience as patience_module
+from laburnumsill.consensus import leader_state
 from laburnumsill.consensus import replica as replica_module
 from laburnumsill.consensus import types
 
@@ -23,14 +23,14 @@
     """
 
     def __init__(self, replica: replica_module.Replica) -> None:
-        self.leadership: leading.Leadership | None = None
+        self.leadership: leader_state.Leadership | None = None
         self.campaign: election.Campaign | None = None
         self.leader: types.ReplicaId | None = None
         self.election_deadline = replica.now
         self._replica = replica
         self._last_contact_at = replica.now
         self._followed: tuple[types.ReplicaId, int] | None = None
-        self._election_timeout = patience_module.ElectionTimeout(
+        self._election_timeout = election_timeout.ElectionTimeout(
             replica.options
         )
         self._set_startup_timer()
@@ -142,7 +142,7 @@
             self.start_campaign(election.Stage.VOTE, for_transfer=False)
             return
         self.leader = self._replica.me
-        self.leadership = leading.Leadership(self._replica)
+        self.leadership = leader_state.Leadership(self._replica)
 
     def step_down(self) -> None:
         """Becomes a follower without a known leader."""
@@ -182,7 +182,7 @@
         wait_s = self._election_timeout.seconds * spread
         self.election_deadline = self._replica.now + wait_s
 
-    def check_quorum(self) -> leading.Leadership | None:
+    def check_quorum(self) -> leader_state.Leadership | None:
         """Steps down without a quorum; returns the leader state, if any."""
         if self.leadership and not self.leadership.has_quorum:
             self.step_down()
--- a/laburnumsill/consensus/tests/kept_group.py
+++ b/laburnumsill/consensus/tests/managed_group.py
@@ -8,8 +8,8 @@
 import string
 
 from laburnumsill.consensus import engine as engines
-from laburnumsill.consensus import host_members
 from laburnumsill.consensus import host_messages
+from laburnumsill.consensus import membership_manager
 from laburnumsill.consensus import types
 from laburnumsill.consensus import voter_choice
 from laburnumsill.consensus.tests import simulated_group
@@ -75,7 +75,7 @@
 
     def __init__(self, vms: str, wanted: int, seed: int) -> None:
         self._wanted = wanted
-        self._managers: dict[str, host_members.MembershipManager] = {}
+        self._managers: dict[str, membership_manager.MembershipManager] = {}
         self._engines: dict[str, engines.Engine | None] = {}
         self._clock = clocks.ManualClock()
         self._step_count = 0
@@ -150,8 +150,8 @@
     def _is_up(self, host: simulated_group.Host) -> bool:
         return host.engine is not None and self.now >= host.paused_until
 
-    def _new_manager(self, vm: str) -> host_members.MembershipManager:
-        return host_members.MembershipManager(
+    def _new_manager(self, vm: str) -> membership_manager.MembershipManager:
+        return membership_manager.MembershipManager(
             vm,
             {},
             frozenset(sorted(self.hosts)[:3]),
--- a/laburnumsill/consensus/tests/simulated_group.py
+++ b/laburnumsill/consensus/tests/simulated_group.py
@@ -10,7 +10,7 @@
 import random as random_module
 
 from laburnumsill.consensus import engine
-from laburnumsill.consensus import group_promises
+from laburnumsill.consensus import held_messages
 from laburnumsill.consensus import types
 
 OPTIONS = engine.Options(
@@ -179,7 +179,7 @@
             return output
         synced_messages = []
         for message in output.messages:
-            if message.kind in group_promises.UNSYNCED_KINDS:
+            if message.kind in held_messages.UNSYNCED_KINDS:
                 self.group.send(message)
             else:
                 synced_messages.append(message)
--- a/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
+++ b/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from laburnumsill.consensus.tests import kept_group
+from laburnumsill.consensus.tests import managed_group
 
 RECOVERY_TIME_S = 4.0
 """Time after the return of a VM during which it still counts as lost."""
@@ -27,7 +27,7 @@
     """Faults in one group, followed by a write and the loss of n disks."""
 
     def __init__(self, vms: str, wanted: int, seed: int) -> None:
-        self.group = kept_group.ManagedGroup(vms, wanted, seed)
+        self.group = managed_group.ManagedGroup(vms, wanted, seed)
         self.random = self.group.random
         self.tolerated = wanted // 2
         self.lost_until: dict[str, float] = {}
--- a/laburnumsill/consensus/tests/test_patience.py
+++ b/laburnumsill/consensus/tests/test_election_timeout.py
@@ -4,16 +4,16 @@
 
 import pytest
 
+from laburnumsill.consensus import election_timeout
 from laburnumsill.consensus import options as options_module
-from laburnumsill.consensus import patience
 from laburnumsill.core import learnt_wait
 
 OPTIONS = options_module.Options(0.8, 0.1)
 
 
-def timeout_after(*gaps: float) -> patience.ElectionTimeout:
+def timeout_after(*gaps: float) -> election_timeout.ElectionTimeout:
     """Returns the election timeout of a follower after these gaps."""
-    timeout = patience.ElectionTimeout(OPTIONS)
+    timeout = election_timeout.ElectionTimeout(OPTIONS)
     now = 100.0
     timeout.on_leader_message(now)
     for gap in gaps:
@@ -66,7 +66,7 @@
 def test_live_leader_rarely_times_out(delay_s, loss):
     """Heartbeats are delayed by up to `delay_s`, and some are lost."""
     source = random.Random(7)
-    timeout = patience.ElectionTimeout(OPTIONS)
+    timeout = election_timeout.ElectionTimeout(OPTIONS)
     heard_at = 0.0
     timeouts = 0
     for beat in range(1, 6_000):
--- a/laburnumsill/consensus/tests/test_engine_rules.py
+++ b/laburnumsill/consensus/tests/test_engine_rules.py
@@ -5,9 +5,9 @@
 
 import pytest
 
+from laburnumsill.consensus import election_timeout
 from laburnumsill.consensus import engine
 from laburnumsill.consensus import group_ticks
-from laburnumsill.consensus import patience
 from laburnumsill.consensus import types
 from laburnumsill.consensus.tests import simulated_group
 from laburnumsill.core import codec
@@ -355,7 +355,7 @@
     leader.step(first, 10.0)
     assert leader.committed == 2
     source = random.Random(7)
-    election_timeout = patience.ElectionTimeout(options)
+    timeout = election_timeout.ElectionTimeout(options)
     now, read_at = 10.0, 10.25
     while now < 40.0:
         wanted = leader.next_tick()
@@ -369,11 +369,11 @@
         sent = [one for one in leader.take_output().messages if one.target == B]
         if not any(one.kind is KIND.HEARTBEAT for one in sent):
             continue
-        election_timeout.on_leader_message(now)
+        timeout.on_leader_message(now)
         for member in (B, C):
             answer = types.Message(
                 KIND.HEARTBEAT_REPLY, member, A, 2, round=sent[-1].round
             )
             leader.step(answer, now)
     assert leader.role == "leader"
-    assert election_timeout.seconds == pytest.approx(0.3, abs=0.05)
+    assert timeout.seconds == pytest.approx(0.3, abs=0.05)
--- a/laburnumsill/consensus/tests/test_host_rules.py
+++ b/laburnumsill/consensus/tests/test_host_rules.py
@@ -6,11 +6,11 @@
 import pytest
 from hypothesis import strategies
 
-from laburnumsill.consensus import founding
-from laburnumsill.consensus import group_make_up
+from laburnumsill.consensus import group_bootstrap
 from laburnumsill.consensus import host_messages
 from laburnumsill.consensus import host_recovery
 from laburnumsill.consensus import membership
+from laburnumsill.consensus import membership_change
 from laburnumsill.consensus import types
 
 A, B, C = (types.ReplicaId(vm, "1") for vm in "abc")
@@ -26,7 +26,9 @@
     fresh = {"b": answer(B, fresh=True), "c": answer(C, fresh=True)}
 
     def bootstrap(answers):
-        return founding.initial_membership(A, True, ["a", "b", "c"], answers)
+        return group_bootstrap.initial_membership(
+            A, True, ["a", "b", "c"], answers
+        )
 
     assert bootstrap(fresh) == DISK_A
     assert bootstrap({"b": fresh["b"]}) is None
@@ -96,18 +98,18 @@
         for step in range(40):
             known = {*self.current.voters, *self.current.learners}
             reachable = frozenset(known & set(self.running.values()))
-            view = group_make_up.MembershipView(
+            view = membership_change.MembershipView(
                 self.current,
                 self.desired,
                 {
-                    vm: group_make_up.JoinRequest(replica, vm in "abc")
+                    vm: membership_change.JoinRequest(replica, vm in "abc")
                     for vm, replica in self.running.items()
                 },
                 reachable if step > 10 else frozenset(),
                 reachable,
                 frozenset("abc"),
             )
-            change = group_make_up.next_change(view)
+            change = membership_change.next_change(view)
             if change is None:
                 continue
             membership.check_change(self.current, change)
@@ -149,7 +151,7 @@
 
 def test_without_desired_voters_nothing_changes():
     replicas = frozenset(DISK_A.voters)
-    view = group_make_up.MembershipView(
+    view = membership_change.MembershipView(
         DISK_A, (), {}, replicas, replicas, frozenset()
     )
-    assert group_make_up.next_change(view) is None
+    assert membership_change.next_change(view) is None
--- a/laburnumsill/consensus/tests/test_lead_watch.py
+++ b/laburnumsill/consensus/tests/test_leader_tracker.py
@@ -6,7 +6,7 @@
 
 from laburnumsill.consensus import engine as engines
 from laburnumsill.consensus import forwarded
-from laburnumsill.consensus import lead_watch
+from laburnumsill.consensus import leader_tracker
 from laburnumsill.consensus import remote
 from laburnumsill.core import errors
 from laburnumsill.core import replication
@@ -215,7 +215,7 @@
     began = trio.current_time()
     with pytest.raises(errors.NoQuorumError):
         await propose(groups)
-    assert trio.current_time() - began < lead_watch.ELECTION_WITHIN_S + 0.2
+    assert trio.current_time() - began < leader_tracker.ELECTION_WAIT_S + 0.2
 
 
 class SlowPeers(CorePeers):
@@ -244,21 +244,21 @@
 
 
 def test_attempt_timeout_follows_slow_answers():
-    watch = lead_watch.LeadWatch(0.3)
-    assert watch.attempt_s == 0.3
+    tracker = leader_tracker.LeaderTracker(0.3)
+    assert tracker.call_timeout_s == 0.3
     for number in range(20):
-        watch.answered("a", number / 10, number / 10 + COMMIT_S)
-    assert watch.attempt_s == lead_watch.SHORTEST_ATTEMPT_S
-    watch.answered("a", 2.0, 2.05)
-    assert watch.attempt_s == pytest.approx(0.2)
-    watch.answered("a", 2.1, 2.5)
-    assert watch.attempt_s == 0.3
+        tracker.on_leader_answer("a", number / 10, number / 10 + COMMIT_S)
+    assert tracker.call_timeout_s == leader_tracker.MIN_CALL_TIMEOUT_S
+    tracker.on_leader_answer("a", 2.0, 2.05)
+    assert tracker.call_timeout_s == pytest.approx(0.2)
+    tracker.on_leader_answer("a", 2.1, 2.5)
+    assert tracker.call_timeout_s == 0.3
 
 
 def test_answer_of_a_leader_ends_the_outage():
-    watch = lead_watch.LeadWatch(0.3)
-    watch.missed(10.0)
-    watch.missed(10.9)
-    assert watch.worth_waiting_until(10.9) == 11.05
-    watch.answered("a", 12.0, 12.0)
-    assert watch.worth_waiting_until(12.0) == 13.0
+    tracker = leader_tracker.LeaderTracker(0.3)
+    tracker.on_no_leader(10.0)
+    tracker.on_no_leader(10.9)
+    assert tracker.wait_deadline(10.9) == 11.05
+    tracker.on_leader_answer("a", 12.0, 12.0)
+    assert tracker.wait_deadline(12.0) == 13.0
--- a/laburnumsill/consensus/tests/test_group_make_up.py
+++ b/laburnumsill/consensus/tests/test_membership_change.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from laburnumsill.consensus import group_make_up
+from laburnumsill.consensus import membership_change
 from laburnumsill.consensus import types
 
 A, B, C, D = (types.ReplicaId(vm, "1") for vm in "abcd")
@@ -10,7 +10,7 @@
 
 
 def view(membership, desired, candidates=(), caught_up=(), disks=""):
-    return group_make_up.MembershipView(
+    return membership_change.MembershipView(
         membership,
         list(desired),
         {request.replica.vm: request for request in candidates},
@@ -24,7 +24,7 @@
 def test_the_disk_of_a_learner_counts_after_a_leader_change(disks):
     """The new leader has not received the join request of the learner."""
     membership = types.Membership((A, B, C), (D,), frozenset("abcd"))
-    change = group_make_up.next_change(
+    change = membership_change.next_change(
         view(membership, "abd", caught_up=(D,), disks=disks)
     )
     assert D in change.voters
@@ -34,7 +34,7 @@
 def test_a_replaced_disk_counts_after_a_leader_change():
     membership = types.Membership((A, B, C), (C2,), frozenset("abc"))
     while (
-        change := group_make_up.next_change(
+        change := membership_change.next_change(
             view(membership, "abc", caught_up=(C2,))
         )
     ) is not None:
@@ -45,8 +45,8 @@
 
 def test_a_successor_without_a_disk_clears_the_disk_record():
     membership = types.Membership((A, B), (C2,), frozenset("abc"))
-    request = group_make_up.JoinRequest(C2, False)
-    change = group_make_up.next_change(
+    request = membership_change.JoinRequest(C2, False)
+    change = membership_change.next_change(
         view(membership, "abc", [request], caught_up=(C2,))
     )
     assert change.with_disk == frozenset("ab")
@@ -61,8 +61,8 @@
     alive = frozenset(replicas[2:])
     sizes = []
     while (
-        change := group_make_up.next_change(
-            group_make_up.MembershipView(
+        change := membership_change.next_change(
+            membership_change.MembershipView(
                 membership, list("cdefg"), {}, alive, alive, frozenset()
             )
         )
--- a/laburnumsill/daemon/tests/test_role_imports.py
+++ b/laburnumsill/daemon/tests/test_role_imports.py
@@ -30,8 +30,8 @@
     "laburnumsill.consensus": {
         "engine_errors",
         "forwarded",
-        "host_forward",
-        "lead_watch",
+        "leader_forwarder",
+        "leader_tracker",
         "remote",
     },
     "laburnumsill.state": {"highest_version"},
