--- a/laburnumsill/consensus/engine.py
+++ b/laburnumsill/consensus/engine.py
@@ -152,7 +152,7 @@
         return self._replica.durable
 
     @property
-    def handed(self) -> int:
+    def delivered(self) -> int:
         """The highest index delivered to the host for application."""
         return self._replica.delivered
 
@@ -168,7 +168,7 @@
         return leadership is not None and leadership.can_commit
 
     @property
-    def leads_committed(self) -> bool:
+    def has_committed_in_term(self) -> bool:
         """Whether this replica leads and has committed an entry in its term.
 
         Until then a leader confirms no reads and changes no membership.
@@ -343,9 +343,9 @@
                 f"snapshot at {snapshot.index} but delivered"
                 f" to {replica.delivered}"
             )
-        retained_bytes = replica.options.kept_bytes
+        retained_bytes = replica.options.retained_bytes
         if self._role.leadership:
-            retained_bytes = self._role.leadership.kept_bytes()
+            retained_bytes = self._role.leadership.retained_bytes()
         replica.log.compact(snapshot, retained_bytes)
 
     def take_output(self) -> types.Output:
--- a/laburnumsill/consensus/follower_state.py
+++ b/laburnumsill/consensus/follower_state.py
@@ -51,7 +51,7 @@
                 types.MessageKind.SNAPSHOT_REPLY,
                 message.source,
                 index=message.index,
-                offset=self._receiver.received,
+                offset=self._receiver.received_bytes,
             )
             return
         if replica.log.term_at(snapshot.index) == snapshot.term:
--- a/laburnumsill/consensus/group.py
+++ b/laburnumsill/consensus/group.py
@@ -338,12 +338,12 @@
             try:
                 await trio.to_thread.run_sync(self._store.commit, batch)
             except store.DiskFullError as error:
-                if all(change.may_be_left_out for change in batch):
+                if all(change.can_be_skipped for change in batch):
                     self._postpone_snapshot(error)
                     break
                 self._on_disk_full(error)
                 schedule_output()
-                await trio.sleep(store.RETRY_S)
+                await trio.sleep(store.DISK_FULL_RETRY_S)
             else:
                 self._on_disk_writable()
                 break
@@ -412,7 +412,7 @@
             self._proposals.resolve(entry.index, entry.term, outcome)
         for read in output.reads:
             self._answer_read(read)
-        for read_id in output.lost_reads:
+        for read_id in output.failed_reads:
             self._reads.fail(read_id)
 
     def _queue_change(self, change: store.Change) -> None:
--- a/laburnumsill/consensus/group_leadership.py
+++ b/laburnumsill/consensus/group_leadership.py
@@ -35,7 +35,7 @@
         if term != self._term:
             ended = bool(self._term)
             self._on_change(term, engine)
-        if term and engine.leads_committed and not self._has_committed:
+        if term and engine.has_committed_in_term and not self._has_committed:
             self._has_committed = True
             logs.event(
                 "group-lead-confirmed",
--- a/laburnumsill/consensus/leader_state.py
+++ b/laburnumsill/consensus/leader_state.py
@@ -88,10 +88,10 @@
     @property
     def _quorum_deadline(self) -> float:
         replica = self._replica
-        heard_at = membership_module.reached_by_majority(
-            replica.log.membership, self._heard_at
+        last_contact_at = membership_module.reached_by_majority(
+            replica.log.membership, self._last_contact_at
         )
-        return heard_at + replica.options.election_timeout_s
+        return last_contact_at + replica.options.election_timeout_s
 
     def propose(self, kind: types.EntryKind, data: bytes) -> tuple[int, int]:
         """Appends an entry; returns its index and term."""
@@ -159,7 +159,7 @@
         progress = self.progress.get(message.source)
         if progress is None:
             return
-        progress.heard_at = self._replica.now
+        progress.last_contact_at = self._replica.now
         if message.kind is types.MessageKind.APPEND_REPLY:
             self._on_append_reply(progress, message)
         elif message.kind is types.MessageKind.HEARTBEAT_REPLY:
@@ -215,14 +215,14 @@
         self._send_heartbeats()
         self._replica.send(types.MessageKind.TIMEOUT_NOW, best)
 
-    def kept_bytes(self) -> int:
+    def retained_bytes(self) -> int:
         """Returns the number of entry bytes to retain behind a snapshot."""
         options = self._replica.options
         sending = any(
             member.mode is progress_module.Mode.SNAPSHOT
             for member in self.progress.values()
         )
-        return options.max_kept_bytes if sending else options.kept_bytes
+        return options.max_retained_bytes if sending else options.retained_bytes
 
     def _append(self, kind: types.EntryKind, data: bytes) -> tuple[int, int]:
         replica = self._replica
@@ -241,10 +241,10 @@
                     replica.log.last_index + 1, replica.now, replica.options
                 )
 
-    def _heard_at(self, voter: types.ReplicaId) -> float:
+    def _last_contact_at(self, voter: types.ReplicaId) -> float:
         if voter == self._replica.me:
             return self._replica.now
-        return self.progress[voter].heard_at
+        return self.progress[voter].last_contact_at
 
     def _is_writable(self, voter: types.ReplicaId) -> bool:
         """Returns whether a voter is reachable and able to write."""
@@ -252,7 +252,9 @@
         if voter == replica.me:
             return replica.writable
         progress = self.progress[voter]
-        unreachable_at = progress.heard_at + replica.options.election_timeout_s
+        unreachable_at = (
+            progress.last_contact_at + replica.options.election_timeout_s
+        )
         return progress.writable and replica.now < unreachable_at
 
     def _can_sync(self, voter: types.ReplicaId) -> bool:
--- a/laburnumsill/consensus/log.py
+++ b/laburnumsill/consensus/log.py
@@ -145,19 +145,19 @@
         while self._memberships and self._memberships[-1][0] >= index:
             self._memberships.pop()
 
-    def compact(self, snapshot: types.Snapshot, kept_bytes: int) -> None:
+    def compact(self, snapshot: types.Snapshot, retained_bytes: int) -> None:
         """Drops the entries that a snapshot covers, except the last ones.
 
         Args:
             snapshot: A snapshot at an index that the log still holds.
-            kept_bytes: Entry bytes to retain behind the snapshot.
+            retained_bytes: Entry bytes to retain behind the snapshot.
         """
         self.snapshot = snapshot
         base = snapshot.index
         size = 0
         while base > self.base_index:
             size += len(self._entries[base - self.base_index - 1].data) + 1
-            if size > kept_bytes:
+            if size > retained_bytes:
                 break
             base -= 1
         term = self.term_at(base)
--- a/laburnumsill/consensus/membership_change.py
+++ b/laburnumsill/consensus/membership_change.py
@@ -93,15 +93,15 @@
 
 def _drop_learner(view: MembershipView) -> types.Membership | None:
     """Removes the learners that are not desired."""
-    wanted = tuple(
+    remaining = tuple(
         learner
         for learner in view.membership.learners
         if learner.vm in view.desired_voters
         or learner.vm in view.desired_learners
     )
-    if wanted == view.membership.learners:
+    if remaining == view.membership.learners:
         return None
-    return _with_members(view, view.membership.voters, wanted)
+    return _with_members(view, view.membership.voters, remaining)
 
 
 def _promote(view: MembershipView) -> types.Membership | None:
--- a/laburnumsill/consensus/membership_manager.py
+++ b/laburnumsill/consensus/membership_manager.py
@@ -230,7 +230,7 @@
         """Returns the VMs that should be learners, besides desired voters."""
         if self._choice is None:
             return ()
-        return self._choice.prepared(self._voter_view(group))
+        return self._choice.desired_learners(self._voter_view(group))
 
     def _target_voters(self, group: groups.HostedGroup) -> tuple[str, ...]:
         """Returns the VMs that should vote, as far as this VM knows.
@@ -240,7 +240,7 @@
         is called; otherwise a restart would revert the changes.
         """
         if self._choice is not None:
-            return self._choice.desired(self._voter_view(group))
+            return self._choice.desired_voters(self._voter_view(group))
         membership = group.engine.membership
         members = [m.vm for m in membership.voters + membership.learners]
         initial_voters = self._initial_voters.get(group.name, ())
@@ -251,7 +251,7 @@
     def _voter_view(self, group: groups.HostedGroup) -> voter_choice.VoterView:
         engine = group.engine
         last_contact_at = {
-            replica.vm: follower.heard_at
+            replica.vm: follower.last_contact_at
             for replica, follower in engine.progress.items()
         }
         return voter_choice.VoterView(
@@ -280,7 +280,7 @@
         alive = {
             replica
             for replica, follower in progress.items()
-            if follower.heard_at >= alive_after and follower.match > 0
+            if follower.last_contact_at >= alive_after and follower.match > 0
         }
         caught_up = {
             replica
--- a/laburnumsill/consensus/options.py
+++ b/laburnumsill/consensus/options.py
@@ -22,9 +22,9 @@
         max_in_flight: Maximum unacknowledged APPENDs to one follower.
         snapshot_chunk_bytes: Snapshot bytes in one SNAPSHOT message.
         max_in_flight_bytes: Limit of unacknowledged entry bytes per follower.
-        kept_bytes: Entry bytes retained behind a snapshot, so that a follower
-            that lags slightly needs no snapshot.
-        max_kept_bytes: Entry bytes retained while a snapshot is being sent.
+        retained_bytes: Entry bytes retained behind a snapshot, so that a
+            follower that lags slightly needs no snapshot.
+        max_retained_bytes: Entry bytes retained while a snapshot is being sent.
         learns_patience: Whether the election timeout adapts to the intervals
             between leader messages; turned off only for measurements.
     """
@@ -35,6 +35,6 @@
     max_in_flight: int = 64
     snapshot_chunk_bytes: int = 262144
     max_in_flight_bytes: int = 1048576
-    kept_bytes: int = 262144
-    max_kept_bytes: int = 8388608
+    retained_bytes: int = 262144
+    max_retained_bytes: int = 8388608
     learns_patience: bool = True
--- a/laburnumsill/consensus/progress.py
+++ b/laburnumsill/consensus/progress.py
@@ -26,7 +26,7 @@
         next: Next index to send.
         synced: Highest index on the member's synced disk.
         mode: Replication mode.
-        heard_at: Monotonic time of the last reply.
+        last_contact_at: Monotonic time of the last reply.
         round: Latest heartbeat round that the member acknowledged.
         sent_commit: Commit index last sent.
         snapshot: The snapshot being sent, or None.
@@ -41,7 +41,7 @@
         self.next = next_index
         self.synced = 0
         self.mode = Mode.PROBE
-        self.heard_at = now
+        self.last_contact_at = now
         self.round = 0
         self.sent_commit = 0
         self.snapshot: types.Snapshot | None = None
@@ -81,7 +81,7 @@
         return (
             not self.idle
             and now >= overdue
-            and self.heard_at > self._awaiting_since
+            and self.last_contact_at > self._awaiting_since
         )
 
     def on_append_sent(
--- a/laburnumsill/consensus/snapshot_receiver.py
+++ b/laburnumsill/consensus/snapshot_receiver.py
@@ -27,7 +27,7 @@
         self._membership: types.Membership | None = None
 
     @property
-    def received(self) -> int:
+    def received_bytes(self) -> int:
         """Bytes received, which is the offset of the next chunk."""
         return len(self._data)
 
--- a/laburnumsill/consensus/store.py
+++ b/laburnumsill/consensus/store.py
@@ -56,7 +56,7 @@
     title = "The store is closed"
 
 
-RETRY_S = 0.5
+DISK_FULL_RETRY_S = 0.5
 """Interval between attempts to write to a full disk.
 
 A replica has to take part again within 2 s after space becomes free, and an
@@ -99,7 +99,7 @@
     entries: tuple[types.Entry, ...] = ()
 
     @property
-    def may_be_left_out(self) -> bool:
+    def can_be_skipped(self) -> bool:
         """True if the change is only a snapshot taken by this replica.
 
         The log still holds the entries that such a snapshot covers.
--- a/laburnumsill/consensus/tests/host_cluster.py
+++ b/laburnumsill/consensus/tests/host_cluster.py
@@ -73,7 +73,7 @@
         return Total([command.key])
 
 
-def soon() -> float:
+def default_deadline() -> float:
     return CLOCK.monotonic() + 5
 
 
@@ -172,21 +172,21 @@
         taken = ports.free_ports(len(disks))
         self.vms = [
             topology.Vm(
-                f"vm{place}",
-                f"d{place % 3}",
+                f"vm{index}",
+                f"d{index % 3}",
                 "",
                 f"127.0.0.1:{port}",
-                disks[place] == "D",
+                disks[index] == "D",
             )
-            for place, port in enumerate(taken)
+            for index, port in enumerate(taken)
         ]
         self.nodes = [Node(self, vm) for vm in self.vms]
 
-    async def start(self, *places: int) -> None:
-        for place in places or range(len(self.nodes)):
-            await self.nursery.start(self.nodes[place].run)
+    async def start(self, *indexes: int) -> None:
+        for index in indexes or range(len(self.nodes)):
+            await self.nursery.start(self.nodes[index].run)
 
-    async def until(self, condition, within: float = 10.0) -> None:
+    async def wait_until(self, condition, within: float = 10.0) -> None:
         with trio.fail_after(within):
             while not condition():  # noqa: ASYNC110
                 await trio.sleep(0.02)
@@ -203,26 +203,26 @@
             None,
         )
 
-    async def add(self, place: int, *keys: str, within: float = 10.0) -> None:
+    async def add(self, index: int, *keys: str, within: float = 10.0) -> None:
         for key in keys:
-            await self.nodes[place].host.propose(
+            await self.nodes[index].host.propose(
                 ROOT, Add(key), CLOCK.monotonic() + within
             )
 
-    async def seen(self, place: int, within: float = 10.0) -> list[str]:
-        total = await self.nodes[place].host.query(
+    async def read_keys(self, index: int, within: float = 10.0) -> list[str]:
+        total = await self.nodes[index].host.query(
             ROOT, Count(), CLOCK.monotonic() + within
         )
         return total.keys
 
-    async def until_settled(self, group: str = ROOT) -> None:
+    async def wait_until_converged(self, group: str = ROOT) -> None:
         """Waits until all running replicas agree on the state of the group.
 
         They know the same leader and three voters, no replica is a learner,
         and all have applied the same entries.
         """
 
-        def settled() -> bool:
+        def converged() -> bool:
             running = [n for n in self.nodes if not n.stopped.is_set()]
             found = [
                 one
@@ -239,4 +239,4 @@
                 for one in found
             )
 
-        await self.until(settled)
+        await self.wait_until(converged)
--- a/laburnumsill/consensus/tests/managed_group.py
+++ b/laburnumsill/consensus/tests/managed_group.py
@@ -68,20 +68,20 @@
     """A group with managed membership; all its VMs have disks.
 
     Args:
-        vms: The VMs; the first `wanted` are the initial voters.
-        wanted: The desired number of voters.
+        vms: The VMs; the first `voter_count` are the initial voters.
+        voter_count: The desired number of voters.
         seed: The seed of the random numbers.
     """
 
-    def __init__(self, vms: str, wanted: int, seed: int) -> None:
-        self._wanted = wanted
+    def __init__(self, vms: str, voter_count: int, seed: int) -> None:
+        self._voter_count = voter_count
         self._managers: dict[str, membership_manager.MembershipManager] = {}
         self._engines: dict[str, engines.Engine | None] = {}
         self._clock = clocks.ManualClock()
         self._step_count = 0
         self._reported_membership_index = 0
-        super().__init__(vms[:wanted], string.ascii_lowercase, seed)
-        for spare in vms[wanted:]:
+        super().__init__(vms[:voter_count], string.ascii_lowercase, seed)
+        for spare in vms[voter_count:]:
             self.add(spare)
 
     @property
@@ -158,7 +158,7 @@
             _NoPeers(),
             self._clock,
             simulated_group.OPTIONS,
-            voter_choice.VoterChoice(self._wanted),
+            voter_choice.VoterChoice(self._voter_count),
         )
 
     def _send_hello(
--- a/laburnumsill/consensus/tests/simulated_group.py
+++ b/laburnumsill/consensus/tests/simulated_group.py
@@ -18,8 +18,8 @@
     max_in_flight=4,
     snapshot_chunk_bytes=128,
     max_in_flight_bytes=256,
-    kept_bytes=16,
-    max_kept_bytes=1024,
+    retained_bytes=16,
+    max_retained_bytes=1024,
 )
 
 
@@ -216,7 +216,7 @@
             assert self.applied >= read.index
             operation = self.reads.pop(read.read_id)
             self.group.complete(operation, self.applied)
-        for read_id in output.lost_reads:
+        for read_id in output.failed_reads:
             del self.reads[read_id]
 
     def _apply(self, entry: types.Entry) -> None:
--- a/laburnumsill/consensus/tests/test_disk_full.py
+++ b/laburnumsill/consensus/tests/test_disk_full.py
@@ -71,7 +71,7 @@
 async def start_with_keys(cluster, *keys):
     await cluster.start()
     await cluster.add(0, *keys)
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
 
 
 def other_nodes(cluster, node):
@@ -80,13 +80,13 @@
 
 async def check_after_restart(cluster, *keys):
     """Checks that all nodes have `keys`, before and after a restart."""
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
     assert [node.keys() for node in cluster.nodes] == [list(keys)] * 3
     for node in cluster.nodes:
         await node.stop()
     await cluster.start()
-    assert await cluster.seen(0) == list(keys)
-    await cluster.until_settled()
+    assert await cluster.read_keys(0) == list(keys)
+    await cluster.wait_until_converged()
     assert [node.keys() for node in cluster.nodes] == [list(keys)] * 3
     assert not any(node.failures for node in cluster.nodes)
 
@@ -102,7 +102,7 @@
     for n in range(5):
         await cluster.add((node_index + n) % 3, f"k{n}", within=1.0)
     assert cluster.leader() is not leader
-    assert await cluster.seen(node_index) == [
+    assert await cluster.read_keys(node_index) == [
         "before",
         *(f"k{n}" for n in range(5)),
     ]
@@ -110,7 +110,7 @@
     await trio.sleep(2 * host_cluster.OPTIONS.election_timeout_s)
     assert leader.status().role == "follower"
     full_disks.free_space(leader)
-    await cluster.until(
+    await cluster.wait_until(
         lambda: leader.keys() == cluster.leader().keys(), RECOVERY_TIMEOUT_S
     )
     await check_after_restart(cluster, "before", *(f"k{n}" for n in range(5)))
@@ -134,7 +134,7 @@
     assert leader.status().term == term
     assert follower.status().last_index < leader.status().last_index
     full_disks.free_space(follower)
-    await cluster.until(
+    await cluster.wait_until(
         lambda: follower.keys() == leader.keys(), RECOVERY_TIMEOUT_S
     )
     await check_after_restart(cluster, "before", *keys, "late")
@@ -175,12 +175,12 @@
             await cluster.add(node_index, "no", within=5.0)
         assert refused.value.retry_after_s == 1.0
         assert refused.value.status == 503
-        assert await cluster.seen(node_index, within=1.0) == ["before"]
+        assert await cluster.read_keys(node_index, within=1.0) == ["before"]
     full_disks.free_space(*order)
     with trio.fail_after(RECOVERY_TIMEOUT_S):
-        await cluster.until(cluster.leader)
+        await cluster.wait_until(cluster.leader)
         await cluster.add(0, "after")
-    keys = await cluster.seen(0)
+    keys = await cluster.read_keys(0)
     assert keys[0] == "before"
     assert keys[-1] == "after"
     assert set(keys[1:-1]) <= set(possible_keys)
@@ -208,7 +208,7 @@
     assert not any(node.stopped.is_set() for node in cluster.nodes)
     assert not any(node.host.status() for node in affected)
     full_disks.free_space(*affected)
-    await cluster.until(
+    await cluster.wait_until(
         lambda: all(
             node.host.local(host_cluster.ROOT) and node.keys() == keys
             for node in cluster.nodes
@@ -262,7 +262,7 @@
     full_disks.fill(*cluster.nodes)
     await add_until_refused(cluster, 0)
     before = full_disks.refusals
-    await trio.sleep(4 * store.RETRY_S)
+    await trio.sleep(4 * store.DISK_FULL_RETRY_S)
     groups = 4
     assert full_disks.refusals - before <= 5 * 3 * groups
 
@@ -279,7 +279,7 @@
 
     monkeypatch.setattr(os, "rename", refuse)
     await node.host._replicas.retire(host_cluster.ROOT)
-    await cluster.until(lambda: node.host.local(host_cluster.ROOT))
+    await cluster.wait_until(lambda: node.host.local(host_cluster.ROOT))
     assert not node.stopped.is_set()
     monkeypatch.undo()
     await cluster.add(1, "after")
--- a/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
+++ b/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
@@ -26,10 +26,10 @@
 class Scenario:
     """Faults in one group, followed by a write and the loss of n disks."""
 
-    def __init__(self, vms: str, wanted: int, seed: int) -> None:
-        self.group = managed_group.ManagedGroup(vms, wanted, seed)
+    def __init__(self, vms: str, voter_count: int, seed: int) -> None:
+        self.group = managed_group.ManagedGroup(vms, voter_count, seed)
         self.random = self.group.random
-        self.tolerated = wanted // 2
+        self.tolerated = voter_count // 2
         self.lost_until: dict[str, float] = {}
         self.spare_names = iter("nopqrstuvwxyz")
         self.group.load = 0.3
@@ -126,12 +126,12 @@
 
 
 @pytest.mark.parametrize("max_kept_records", [0, 4])
-@pytest.mark.parametrize(("vms", "wanted"), SITES)
+@pytest.mark.parametrize(("vms", "voter_count"), SITES)
 @pytest.mark.parametrize("seed", range(SEEDS))
 def test_what_was_acknowledged_is_read_after_voters_changed(
-    vms, wanted, seed, max_kept_records
+    vms, voter_count, seed, max_kept_records
 ):
-    scenario = Scenario(vms, wanted, seed)
+    scenario = Scenario(vms, voter_count, seed)
     for _ in range(scenario.random.randint(2, 8)):
         scenario.inject_fault()
         if scenario.random.random() < 0.15:
--- a/laburnumsill/consensus/tests/test_election_timeout.py
+++ b/laburnumsill/consensus/tests/test_election_timeout.py
@@ -67,14 +67,14 @@
     """Heartbeats are delayed by up to `delay_s`, and some are lost."""
     source = random.Random(7)
     timeout = election_timeout.ElectionTimeout(OPTIONS)
-    heard_at = 0.0
+    last_message_at = 0.0
     timeouts = 0
     for beat in range(1, 6_000):
         if source.random() < loss:
             continue
-        now = max(heard_at, 0.1 * beat + source.uniform(0, delay_s))
-        timeouts += beat > 1 and now - heard_at > timeout.seconds
+        now = max(last_message_at, 0.1 * beat + source.uniform(0, delay_s))
+        timeouts += beat > 1 and now - last_message_at > timeout.seconds
         timeout.on_leader_message(now)
-        heard_at = now
+        last_message_at = now
     # Limits for ten minutes of heartbeats.
     assert timeouts <= (1 if loss else 0)
--- a/laburnumsill/consensus/tests/test_host.py
+++ b/laburnumsill/consensus/tests/test_host.py
@@ -27,13 +27,15 @@
 ):
     cluster = make_cluster("DDMM")
     await cluster.start()
-    for place in range(4):
-        await cluster.add(place, f"k{place}")
-        assert await cluster.seen(place) == [f"k{n}" for n in range(place + 1)]
+    for node_index in range(4):
+        await cluster.add(node_index, f"k{node_index}")
+        assert await cluster.read_keys(node_index) == [
+            f"k{n}" for n in range(node_index + 1)
+        ]
     with pytest.raises(errors.ConflictError) as refused:
         await cluster.add(3, "bad")
     assert refused.value.context == {"key": "bad"}
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
     founded = {node.status().voters for node in cluster.nodes[:3]}
     assert founded == {("vm0", "vm1", "vm2")}
 
@@ -55,11 +57,11 @@
     leader = cluster.leader()
     await leader.stop()
     other = next(n for n in cluster.nodes if n is not leader)
-    place = cluster.nodes.index(other)
-    await cluster.add(place, "after")
-    assert await cluster.seen(place) == ["before", "after"]
+    node_index = cluster.nodes.index(other)
+    await cluster.add(node_index, "after")
+    assert await cluster.read_keys(node_index) == ["before", "after"]
     await cluster.start(cluster.nodes.index(leader))
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
     assert leader.keys() == ["before", "after"]
 
 
@@ -69,30 +71,30 @@
     cluster = make_cluster()
     await cluster.start()
     await cluster.add(0, "k")
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
     leader = cluster.leader()
-    place = cluster.nodes.index(leader)
+    node_index = cluster.nodes.index(leader)
     for node in cluster.nodes:
         if node is not leader:
             await node.stop()
     with pytest.raises(errors.ProposalLostError):
-        await cluster.add(place, "maybe", within=1.5)
+        await cluster.add(node_index, "maybe", within=1.5)
     with pytest.raises(errors.NoQuorumError):
-        await cluster.add(place, "no", within=0.5)
+        await cluster.add(node_index, "no", within=0.5)
     with pytest.raises(errors.NoQuorumError):
-        await cluster.seen(place, within=0.5)
+        await cluster.read_keys(node_index, within=0.5)
 
 
 async def test_a_restarted_memory_replica_gets_a_new_incarnation(make_cluster):
     cluster = make_cluster("DMM")
     await cluster.start()
     await cluster.add(0, "k")
-    for place in (1, 2, 1):
-        node = cluster.nodes[place]
+    for node_index in (1, 2, 1):
+        node = cluster.nodes[node_index]
         before = node.incarnation()
         await node.stop()
-        await cluster.start(place)
-        await cluster.until_settled()
+        await cluster.start(node_index)
+        await cluster.wait_until_converged()
         assert node.incarnation() != before
         assert node.keys() == ["k"]
         assert node.status().voters.count(node.vm.vm_id) == 1
@@ -106,7 +108,7 @@
     for node in cluster.nodes:
         await node.stop()
     await cluster.start()
-    assert await cluster.seen(2) == [f"k{n}" for n in range(20)]
+    assert await cluster.read_keys(2) == [f"k{n}" for n in range(20)]
     assert incarnations == [node.incarnation() for node in cluster.nodes]
 
 
@@ -118,27 +120,27 @@
         await node.stop()
     await cluster.start()
     await cluster.add(2, "k3", within=20)
-    assert await cluster.seen(1) == ["k1", "k2", "k3"]
-    await cluster.until_settled()
+    assert await cluster.read_keys(1) == ["k1", "k2", "k3"]
+    await cluster.wait_until_converged()
 
 
 async def test_a_shutdown_hands_the_lead_over(make_cluster):
     cluster = make_cluster()
     await cluster.start()
     await cluster.add(0, "k")
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
     leader = cluster.leader()
     term = leader.status().term
     await leader.host.hand_over()
-    await cluster.until(lambda: cluster.leader() not in (None, leader), 1)
+    await cluster.wait_until(lambda: cluster.leader() not in (None, leader), 1)
     assert cluster.leader().status().term == term + 1
     await cluster.nodes[0].host.transfer(
-        host_cluster.ROOT, leader.vm.vm_id, host_cluster.soon()
+        host_cluster.ROOT, leader.vm.vm_id, host_cluster.default_deadline()
     )
-    await cluster.until(lambda: cluster.leader() is leader, 1)
+    await cluster.wait_until(lambda: cluster.leader() is leader, 1)
     with pytest.raises(engine.NoSuchVoterError):
         await cluster.nodes[0].host.transfer(
-            host_cluster.ROOT, "nobody", host_cluster.soon()
+            host_cluster.ROOT, "nobody", host_cluster.default_deadline()
         )
 
 
--- a/laburnumsill/consensus/tests/test_host_group.py
+++ b/laburnumsill/consensus/tests/test_host_group.py
@@ -205,7 +205,7 @@
         <= 2
     )
     replica_store.full = False
-    with trio.fail_after(2 * store.RETRY_S):
+    with trio.fail_after(2 * store.DISK_FULL_RETRY_S):
         while not replica.group.writable:  # noqa: ASYNC110
             await trio.sleep(0.01)
     assert [change.entries for change in replica_store.changes][0] == (
--- a/laburnumsill/consensus/tests/test_host_repair.py
+++ b/laburnumsill/consensus/tests/test_host_repair.py
@@ -36,19 +36,19 @@
     """Starts all VMs and adds `keys`."""
     await cluster.start()
     await cluster.add(0, *keys)
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
 
 
 async def test_a_lost_disk_comes_back_as_another_replica(make_cluster):
     cluster = make_cluster()
     await start_with_keys(cluster, *KEYS)
-    for place in (0, 1):
-        node = cluster.nodes[place]
+    for node_index in (0, 1):
+        node = cluster.nodes[node_index]
         before = node.incarnation()
         await node.stop()
         shutil.rmtree(node.folder)
-        await cluster.start(place)
-        await cluster.until_settled()
+        await cluster.start(node_index)
+        await cluster.wait_until_converged()
         assert node.incarnation() != before
         assert node.keys() == KEYS
 
@@ -66,7 +66,7 @@
     with largest_segment(node).open("ab") as log:
         log.write(segments.entry_record(entry)[:-1])
     await cluster.start(1)
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
     assert node.incarnation() == before
     assert node.keys() == [*KEYS, "missed"]
 
@@ -82,7 +82,7 @@
     raw[raw.index(b"k10")] ^= 1
     path.write_bytes(raw)
     await cluster.start(1)
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
     assert node.incarnation() != before
     assert node.keys() == KEYS
     assert list(node.folder.glob("groups/root.set-aside*"))
@@ -92,18 +92,18 @@
     limits = host.SnapshotLimits(entries=50)
     cluster = make_cluster("DDM", limits)
     await start_with_keys(cluster, "first")
-    for place in (1, 2):
-        node = cluster.nodes[place]
+    for node_index in (1, 2):
+        node = cluster.nodes[node_index]
         await node.stop()
-        data = [f"{place}-{n}-{'x' * 2000}" for n in range(300)]
+        data = [f"{node_index}-{n}-{'x' * 2000}" for n in range(300)]
         await cluster.add(0, *data)
-        await cluster.start(place)
-        await cluster.until_settled()
+        await cluster.start(node_index)
+        await cluster.wait_until_converged()
         assert node.keys()[-300:] == data
         assert node.component().loads >= 1
     await cluster.nodes[0].stop()
     await cluster.start(0)
-    await cluster.until_settled()
+    await cluster.wait_until_converged()
     assert len(cluster.nodes[0].keys()) == 601
     assert cluster.nodes[0].component().loads == 1
 
@@ -121,7 +121,7 @@
     for node in cluster.nodes:
         if node is not lost:
             node.host.set_make_up(desired_voters)
-    await cluster.until(
+    await cluster.wait_until(
         lambda: (
             (leader := cluster.leader()) is not None
             and set(leader.status().voters)
@@ -131,9 +131,9 @@
     )
     second = cluster.nodes[int(voters[1][2:])]
     await second.stop()
-    place = cluster.nodes.index(spare)
-    await cluster.add(place, "after")
-    assert await cluster.seen(place) == [*KEYS, "after"]
+    node_index = cluster.nodes.index(spare)
+    await cluster.add(node_index, "after")
+    assert await cluster.read_keys(node_index) == [*KEYS, "after"]
 
 
 async def test_a_running_replica_retires_after_its_replacement(make_cluster):
@@ -147,10 +147,10 @@
     desired_voters = {host_cluster.ROOT: [*remaining, spare.vm.vm_id]}
     for node in cluster.nodes:
         node.host.set_make_up(desired_voters)
-    await cluster.until(
+    await cluster.wait_until(
         lambda: replaced.host.local(host_cluster.ROOT) is None, within=15
     )
-    assert await cluster.seen(cluster.nodes.index(replaced)) == KEYS
+    assert await cluster.read_keys(cluster.nodes.index(replaced)) == KEYS
     assert set(cluster.leader().status().voters) == {*remaining, spare.vm.vm_id}
     assert list(replaced.folder.glob("groups/root.set-aside*"))
 
@@ -174,11 +174,11 @@
         engine = cluster.leader().host._hosted(host_cluster.ROOT).engine
         return engine.committed >= engine.membership_index
 
-    await cluster.until(lambda: repaired() and committed())
+    await cluster.wait_until(lambda: repaired() and committed())
     for node in cluster.nodes:
         await node.stop()
     await cluster.start()
-    await cluster.until(repaired)
+    await cluster.wait_until(repaired)
     for _ in range(20):
         await trio.sleep(0.1)
         assert cluster.leader() is None or repaired()
@@ -204,8 +204,8 @@
     leader = cluster.leader()
     term = leader.status().term
     slow_down(monkeypatch, leader, 4 * host_cluster.OPTIONS.election_timeout_s)
-    for place in range(3):
-        await cluster.add(place, f"slow-{place}", within=1.0)
+    for node_index in range(3):
+        await cluster.add(node_index, f"slow-{node_index}", within=1.0)
     await trio.sleep(3 * host_cluster.OPTIONS.election_timeout_s)
     assert cluster.leader() is leader
     assert leader.status().term == term
@@ -223,8 +223,8 @@
         real(descriptor, path)
 
     monkeypatch.setattr(durable_files, "sync", fail)
-    place = next(n for n in range(3) if cluster.nodes[n] is not node)
-    await cluster.add(place, "after")
-    await cluster.until(node.stopped.is_set)
+    node_index = next(n for n in range(3) if cluster.nodes[n] is not node)
+    await cluster.add(node_index, "after")
+    await cluster.wait_until(node.stopped.is_set)
     assert {type(one) for one in node.failures} == {store.SyncFailedError}
-    assert await cluster.seen(place) == ["k", "after"]
+    assert await cluster.read_keys(node_index) == ["k", "after"]
--- a/laburnumsill/consensus/tests/test_store_machine.py
+++ b/laburnumsill/consensus/tests/test_store_machine.py
@@ -184,7 +184,7 @@
             return
         except store.DiskFullError:
             self.refused = changes
-            if len(changes) == 1 and changes[0].may_be_left_out:
+            if len(changes) == 1 and changes[0].can_be_skipped:
                 self.refused = None
                 self.skipped += changes
             return
--- a/laburnumsill/consensus/types.py
+++ b/laburnumsill/consensus/types.py
@@ -165,7 +165,7 @@
         messages: Messages to send after the fields above are synced.
         committed: Entries to apply, in order.
         reads: Confirmed reads to serve after `committed` is applied.
-        lost_reads: Ids of reads that failed because leadership was lost.
+        failed_reads: Ids of reads that failed because leadership was lost.
     """
 
     hard_state: HardState | None = None
@@ -174,7 +174,7 @@
     messages: tuple[Message, ...] = ()
     committed: tuple[Entry, ...] = ()
     reads: tuple[ConfirmedRead, ...] = ()
-    lost_reads: tuple[int, ...] = ()
+    failed_reads: tuple[int, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/laburnumsill/consensus/voter_choice.py
+++ b/laburnumsill/consensus/voter_choice.py
@@ -23,15 +23,15 @@
     Attributes:
         voters: VMs of the current voters, including the leader.
         learners: VMs of the current learners.
-        heard_at: Monotonic time of the last message of each VM.
-        asking: Monotonic time of the last request of each VM to join.
+        last_contact_at: Monotonic time of the last message of each VM.
+        join_requested_at: Monotonic time of each VM's last join request.
         now: The current monotonic time.
     """
 
     voters: tuple[str, ...]
     learners: tuple[str, ...]
-    heard_at: abc.Mapping[str, float]
-    asking: abc.Mapping[str, float]
+    last_contact_at: abc.Mapping[str, float]
+    join_requested_at: abc.Mapping[str, float]
     now: float
 
 
@@ -42,20 +42,20 @@
     spare it stays, because fewer voters tolerate fewer failures.
 
     Args:
-        wanted: Target number of voters, odd.
+        voter_count: Target number of voters, odd.
 
     Examples:
         >>> choice = VoterChoice(3)
         >>> view = VoterView(("a", "b", "c"), (), {"b": 9.0, "c": 1.0},
         ...                  {"d": 9.0}, 9.5)
-        >>> choice.desired(view)
+        >>> choice.desired_voters(view)
         ('a', 'b', 'd')
     """
 
-    def __init__(self, wanted: int) -> None:
-        self._wanted = wanted
+    def __init__(self, voter_count: int) -> None:
+        self._voter_count = voter_count
 
-    def prepared(self, view: VoterView) -> tuple[str, ...]:
+    def desired_learners(self, view: VoterView) -> tuple[str, ...]:
         """Returns the spare VMs that are to be learners.
 
         A learner already has the log and can become a voter at once. There
@@ -67,28 +67,29 @@
         Examples:
             >>> view = VoterView(("a", "b", "c"), (), {"b": 9.0, "c": 8.9},
             ...                  {"d": 9.4, "e": 9.4}, 9.5)
-            >>> VoterChoice(3).prepared(view)
+            >>> VoterChoice(3).desired_learners(view)
             ('d',)
         """
         silent = sum(_silent(vm, view, PREPARE_AFTER_S) for vm in view.voters)
-        tolerated = (self._wanted - 1) // 2
+        tolerated = (self._voter_count - 1) // 2
         learning = min(tolerated, len(view.learners))
         return tuple(_spares(view)[: max(silent, learning)])
 
-    def desired(self, view: VoterView) -> tuple[str, ...]:
+    def desired_voters(self, view: VoterView) -> tuple[str, ...]:
         """Returns the VMs that are to be voters."""
         kept = [vm for vm in view.voters if not _silent(vm, view)]
         lost = [vm for vm in view.voters if vm not in kept]
         spares = _spares(view)
-        chosen = kept + spares[: max(0, self._wanted - len(kept))]
-        chosen += lost[: max(0, self._wanted - len(chosen))]
+        chosen = kept + spares[: max(0, self._voter_count - len(kept))]
+        chosen += lost[: max(0, self._voter_count - len(chosen))]
         return tuple(chosen)
 
 
 def _silent(vm: str, view: VoterView, after_s: float = REPLACE_AFTER_S) -> bool:
     """Returns whether a VM has sent nothing recently, in any incarnation."""
     last_message_at = max(
-        view.heard_at.get(vm, view.now), view.asking.get(vm, float("-inf"))
+        view.last_contact_at.get(vm, view.now),
+        view.join_requested_at.get(vm, float("-inf")),
     )
     return view.now - last_message_at > after_s
 
@@ -100,11 +101,11 @@
         for vm in view.learners
         if vm not in view.voters and not _silent(vm, view)
     ]
-    asking = [
+    joining = [
         vm
-        for vm, asked_at in sorted(view.asking.items())
+        for vm, asked_at in sorted(view.join_requested_at.items())
         if vm not in view.voters
         and vm not in learning
         and view.now - asked_at <= SPARE_TIMEOUT_S
     ]
-    return learning + asking
+    return learning + joining
