--- a/bench/failover.py
+++ b/bench/failover.py
@@ -10,8 +10,9 @@
 Time from the leader's end to the next leader's first commit, 100 plays, while
 reads come all the time: 1,032 ms in the median and 1,364 ms at the 95th
 percentile with a fixed time of 0.8 s; 470 and 819 ms with
-`laburnumsill.consensus.patience` while reads put heartbeats off, 373 and 520 ms
-since they do not. No election in ten minutes of any of the conditions.
+`laburnumsill.consensus.election_timeout` while reads put heartbeats off, 373
+and 520 ms since they do not. No election in ten minutes of any of the
+conditions.
 """
 
 import contextlib
@@ -90,10 +91,12 @@
         self._ticks = dict.fromkeys(VMS, 0)
         members = tuple(types.ReplicaId(vm, "i") for vm in VMS)
         membership = types.Membership(members, with_disk=VMS)
-        hard_state, entry = engines.Engine.found("g", members[0], membership)
+        hard_state, entry = engines.Engine.bootstrap(
+            "g", members[0], membership
+        )
         self.engines = {}
         for me in members:
-            stored = types.Stored("i", hard_state, None, (entry,))
+            stored = types.StoredState("i", hard_state, None, (entry,))
             self.engines[me.vm] = engines.Engine(
                 "g", me, stored, options, 0.0, random.Random(f"{seed} {me.vm}")
             )
@@ -178,11 +181,11 @@
             self._terms.add(engine.term)
             self.elections += 1
         synced_at = max(self.now, self._syncing[vm])
-        if output.append or output.hard_state:
+        if output.entries or output.hard_state:
             synced_at += self._conditions.sync_s
             self._syncing[vm] = synced_at
-        if output.append:
-            last = output.append[-1]
+        if output.entries:
+            last = output.entries[-1]
             self.at(
                 synced_at,
                 functools.partial(self._synced, vm, last.index, last.term),
@@ -193,7 +196,7 @@
             self._send(message, self.now if promised else synced_at)
 
     def _synced(self, vm: str, index: int, term: int) -> None:
-        self.engines[vm].synced(index, term)
+        self.engines[vm].on_synced(index, term)
         self._flush(vm)
 
     def _send(self, message: types.Message, at: float) -> None:
@@ -214,7 +217,9 @@
     """Returns the daemon's options, or those with a fixed time."""
     heartbeat_s = core_role.HEARTBEAT_S if learnt else FIXED_HEARTBEAT_S
     return engines.Options(
-        core_role.ELECTION_TIMEOUT_S, heartbeat_s, learns_patience=learnt
+        core_role.ELECTION_TIMEOUT_S,
+        heartbeat_s,
+        adaptive_election_timeout=learnt,
     )
 
 
--- a/bench/state_node.py
+++ b/bench/state_node.py
@@ -162,7 +162,9 @@
             name = f"group{number}"
             while not self._host.leads(name):
                 deadline = self._clock.monotonic() + 10
-                await self._host.transfer(name, self._me.vm_id, deadline)
+                await self._host.transfer_leadership(
+                    name, self._me.vm_id, deadline
+                )
                 await trio.sleep(0.05)
         return {"leads": True}
 
--- a/laburnumsill/consensus/election.py
+++ b/laburnumsill/consensus/election.py
@@ -38,7 +38,7 @@
         self.stage = stage
         self.for_transfer = for_transfer
         self._replica = replica
-        self._supporters = {replica.me}
+        self._supporters = {replica.replica_id}
 
     @property
     def won(self) -> bool:
@@ -55,9 +55,9 @@
         if self.stage is Stage.VOTE:
             kind = types.MessageKind.VOTE
             replica.enter_term(term)
-            replica.vote_for(replica.me)
+            replica.vote_for(replica.replica_id)
         for voter in replica.log.membership.voters:
-            if voter == replica.me:
+            if voter == replica.replica_id:
                 continue
             replica.send(
                 kind,
--- a/laburnumsill/consensus/election_timeout.py
+++ b/laburnumsill/consensus/election_timeout.py
@@ -43,7 +43,7 @@
     def __init__(self, options: options_module.Options) -> None:
         shortest_s = GAP_MULTIPLE * options.heartbeat_s
         longest_s = options.election_timeout_s
-        if not options.learns_patience:
+        if not options.adaptive_election_timeout:
             shortest_s = longest_s
         self._last_message_at: float | None = None
         self._timeout = learnt_wait.LearntWait(
--- a/laburnumsill/consensus/engine.py
+++ b/laburnumsill/consensus/engine.py
@@ -48,9 +48,9 @@
     """One replica of a replicated log that follows the Raft algorithm.
 
     The host passes in the time, messages and proposals, takes the output and
-    executes it in the order of its fields. After `Output.append` is stored,
-    and synced if the VM has a disk, the host calls `synced`. The host drops
-    its whole stored log when it executes `Output.install`.
+    executes it in the order of its fields. After `Output.entries` is stored,
+    and synced if the VM has a disk, the host calls `on_synced`. The host drops
+    its whole stored log when it executes `Output.snapshot`.
 
     An entry is committed when a majority of the voters holds it and, if any
     voter has a disk, at least one synced disk holds it too. There are no
@@ -58,18 +58,18 @@
     that was sent after the read arrived.
 
     Examples:
-        >>> me = types.ReplicaId("a", "i1")
-        >>> hard_state, entry = Engine.found(
-        ...     "root", me, types.Membership((me,)))
-        >>> stored = types.Stored("i1", hard_state, None, (entry,))
-        >>> engine = Engine("root", me, stored, Options(), 0.0,
+        >>> replica_id = types.ReplicaId("a", "i1")
+        >>> hard_state, entry = Engine.bootstrap(
+        ...     "root", replica_id, types.Membership((replica_id,)))
+        >>> stored = types.StoredState("i1", hard_state, None, (entry,))
+        >>> engine = Engine("root", replica_id, stored, Options(), 0.0,
         ...                 random_module.Random(1))
         >>> engine.tick(2.0)
         >>> engine.role
         'leader'
         >>> index, term = engine.propose(b"x", 2.0)
         >>> _ = engine.take_output()
-        >>> engine.synced(index, term)
+        >>> engine.on_synced(index, term)
         >>> [entry.data for entry in engine.take_output().committed][-1]
         b'x'
 
@@ -82,39 +82,39 @@
     def __init__(
         self,
         group: str,
-        me: types.ReplicaId,
-        stored: types.Stored,
+        replica_id: types.ReplicaId,
+        stored: types.StoredState,
         options: options_module.Options,
         now: float,
         random: random_module.Random,
     ) -> None:
         self._replica = replica_module.Replica(
-            group, me, stored, options, now, random
+            group, replica_id, stored, options, now, random
         )
         self._follower = follower_state.Follower(self._replica)
         self._role = roles.Role(self._replica)
         self._last_read_id = 0
 
     @staticmethod
-    def found(
-        group: str, me: types.ReplicaId, membership: types.Membership
+    def bootstrap(
+        group: str, replica_id: types.ReplicaId, membership: types.Membership
     ) -> tuple[types.HardState, types.Entry]:
         """Returns the hard state and first entry of the founder of a group.
 
         The founder stores both before its engine starts.
 
         Raises:
-            InvalidMembershipError: `me` is not a voter of the membership.
+            InvalidMembershipError: The replica is not a voter in `membership`.
         """
-        if me not in membership.voters:
+        if replica_id not in membership.voters:
             raise InvalidMembershipError(
-                f"founder {me!r} of group {group} is not a voter in"
+                f"founder {replica_id!r} of group {group} is not a voter in"
                 f" {membership.voters!r}"
             )
         entry = types.Entry(
             1, 1, types.EntryKind.MEMBERSHIP, codec.encode(membership)
         )
-        return types.HardState(1, me), entry
+        return types.HardState(1, replica_id), entry
 
     @property
     def role(self) -> str:
@@ -228,7 +228,7 @@
     def step(self, message: types.Message, now: float) -> None:
         """Handles a message from another replica."""
         self._replica.now = now
-        if message.target != self._replica.me:
+        if message.target != self._replica.replica_id:
             return
         if message.kind in _NEEDS_STORAGE and not self.writable:
             return
@@ -292,7 +292,7 @@
         leadership.read(self._last_read_id)
         return self._last_read_id
 
-    def transfer(self, vm: str, now: float) -> None:
+    def transfer_leadership(self, vm: str, now: float) -> None:
         """Begins a leadership transfer to the voter on `vm`.
 
         Proposals are refused until that voter is leader or an election
@@ -306,9 +306,9 @@
         leadership = self._check_quorum(now)
         if leadership is None or leadership.transferring:
             raise self._not_leader()
-        leadership.transfer(vm)
+        leadership.transfer_leadership(vm)
 
-    def synced(self, index: int, term: int | None = None) -> None:
+    def on_synced(self, index: int, term: int | None = None) -> None:
         """Records that the entries up to `index` are stored.
 
         Args:
@@ -379,10 +379,11 @@
 
     def _not_leader(self) -> NotLeaderError:
         known_leader = self._role.leader
-        if known_leader == self._replica.me:
+        if known_leader == self._replica.replica_id:
             known_leader = None
         return NotLeaderError(
-            f"{self._replica.me.vm} does not lead {self._replica.group}",
+            f"{self._replica.replica_id.vm} does not lead"
+            f" {self._replica.group}",
             leader=known_leader.vm if known_leader else None,
         )
 
--- a/laburnumsill/consensus/group.py
+++ b/laburnumsill/consensus/group.py
@@ -56,7 +56,7 @@
 
     Attributes:
         name: The name of the group.
-        me: The id of this replica.
+        replica_id: The id of this replica.
         machine: The state machine.
         outgoing: The messages that may be sent now; the host removes them.
     """
@@ -73,7 +73,7 @@
         rng: random.Random,
     ) -> None:
         self.name = name
-        self.me = types.ReplicaId(vm, replica_store.stored.incarnation)
+        self.replica_id = types.ReplicaId(vm, replica_store.stored.incarnation)
         self.machine = machine
         self.outgoing: list[types.Message] = []
         self._store = replica_store
@@ -149,7 +149,7 @@
     def is_member(self) -> bool:
         """Whether this replica is in the latest membership in its log."""
         membership = self._engine.membership
-        return self.me in membership.voters + membership.learners
+        return self.replica_id in membership.voters + membership.learners
 
     def take_membership_committed(self) -> bool:
         """Returns whether a membership change has been committed.
@@ -221,14 +221,14 @@
         read_id = self._engine.read(self._clock.monotonic())
         return self._reads.add(read_id, query)
 
-    def transfer(self, vm: str) -> None:
+    def transfer_leadership(self, vm: str) -> None:
         """Starts a leadership transfer to the voter on `vm`.
 
         Raises:
             engines.NotLeaderError: This replica does not lead.
             engines.NoSuchVoterError: There is no voter on `vm`.
         """
-        self._engine.transfer(vm, self._clock.monotonic())
+        self._engine.transfer_leadership(vm, self._clock.monotonic())
 
     async def leadership_ended(self) -> None:
         """Waits until this replica has lost or transferred its leadership."""
@@ -242,7 +242,9 @@
         Raises:
             StorageError: The disk failed.
         """
-        hard_state, entry = engines.Engine.found(self.name, self.me, membership)
+        hard_state, entry = engines.Engine.bootstrap(
+            self.name, self.replica_id, membership
+        )
         if self._hard_state.term:
             hard_state = self._hard_state
         self._is_bootstrapping = True
@@ -254,8 +256,12 @@
         while self._stored_changes < self._queued_changes:
             await self._change_stored.wait()
         self._engine = self._new_engine(
-            types.Stored(
-                self.me.incarnation, hard_state, None, (entry,), self.with_disk
+            types.StoredState(
+                self.replica_id.incarnation,
+                hard_state,
+                None,
+                (entry,),
+                self.with_disk,
             )
         )
         self._is_bootstrapping = False
@@ -281,8 +287,8 @@
         self.step(
             types.Message(
                 types.MessageKind.APPEND,
-                self.me,
-                self.me,
+                self.replica_id,
+                self.replica_id,
                 term,
                 index=last,
                 log_term=self._engine.term_at(last) or 0,
@@ -382,10 +388,10 @@
         self._proposals.fail("the replica was stopped")
         self._reads.fail_all()
 
-    def _new_engine(self, stored: types.Stored) -> engines.Engine:
+    def _new_engine(self, stored: types.StoredState) -> engines.Engine:
         return engines.Engine(
             self.name,
-            self.me,
+            self.replica_id,
             stored,
             self._options,
             self._clock.monotonic(),
@@ -393,13 +399,13 @@
         )
 
     def _execute(self, output: types.Output) -> None:
-        if output.install is not None:
-            self._applier.install(output.install)
+        if output.snapshot is not None:
+            self._applier.install(output.snapshot)
             self._proposals.fail(
-                "a snapshot was installed", output.install.index
+                "a snapshot was installed", output.snapshot.index
             )
         change = store.Change(
-            output.hard_state, output.install, False, output.append
+            output.hard_state, output.snapshot, False, output.entries
         )
         if not change.is_empty:
             self._queue_change(change)
@@ -447,7 +453,7 @@
         for change in reversed(changes):
             if change.entries and not self._is_bootstrapping:
                 last = change.entries[-1]
-                self._engine.synced(last.index, last.term)
+                self._engine.on_synced(last.index, last.term)
                 break
 
     def _release_messages(self) -> None:
--- a/laburnumsill/consensus/group_apply.py
+++ b/laburnumsill/consensus/group_apply.py
@@ -27,7 +27,7 @@
         self,
         group: str,
         machine: replication.StateMachine,
-        stored: types.Stored,
+        stored: types.StoredState,
     ) -> None:
         self.applied = 0
         self.snapshot_index = 0
--- a/laburnumsill/consensus/group_bootstrap.py
+++ b/laburnumsill/consensus/group_bootstrap.py
@@ -37,7 +37,7 @@
 
 
 def initial_membership(
-    me: types.ReplicaId,
+    replica_id: types.ReplicaId,
     with_disk: bool,
     initial_voters: abc.Sequence[str],
     answers: Answers,
@@ -45,7 +45,7 @@
     """Returns the initial membership, or None if bootstrap is not allowed.
 
     Args:
-        me: The replica that bootstraps the group.
+        replica_id: The replica that bootstraps the group.
         with_disk: Whether that replica has a disk.
         initial_voters: The VMs of the group's initial voters.
         answers: The answers to the hello of that replica, by VM.
@@ -55,9 +55,9 @@
     voters = []
     disks = set()
     for vm in initial_voters:
-        replica: types.ReplicaId | None = me
+        replica: types.ReplicaId | None = replica_id
         has_disk = with_disk
-        if vm != me.vm:
+        if vm != replica_id.vm:
             answer = answers.get(vm, host_messages.HelloAnswer())
             replica = answer.replica
             has_disk = answer.with_disk
--- a/laburnumsill/consensus/held_messages.py
+++ b/laburnumsill/consensus/held_messages.py
@@ -18,7 +18,7 @@
 """Messages that do not acknowledge entries of the sender's log.
 
 They may be sent before a pending sync of entries, but not before one of a term
-or vote. The leader counts its own entries only after `Engine.synced`.
+or vote. The leader counts its own entries only after `Engine.on_synced`.
 """
 
 
--- a/laburnumsill/consensus/host.py
+++ b/laburnumsill/consensus/host.py
@@ -49,7 +49,7 @@
     """Hosts this VM's replicas and forwards requests to the leaders.
 
     Args:
-        me: This VM.
+        local_vm: This VM.
         vms: All VMs, including this one.
         network: The connections to the other VMs; run by the caller.
         make_machine: Creates the empty state machine of a group.
@@ -65,7 +65,7 @@
 
     def __init__(
         self,
-        me: topology.Vm,
+        local_vm: topology.Vm,
         vms: abc.Sequence[topology.Vm],
         network: networks.PeerNetwork,
         make_machine: abc.Callable[[str], replication.StateMachine],
@@ -77,16 +77,22 @@
         first: abc.Mapping[str, abc.Sequence[str]] | None = None,
         choice: voter_choice.VoterChoice | None = None,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._clock = clock
         self._metrics = metrics
         self._options = options
         self._network = network
         self._replicas = host_replicas.Replicas(
-            me.vm_id, network, make_machine, data_folder, clock, options, limits
+            local_vm.vm_id,
+            network,
+            make_machine,
+            data_folder,
+            clock,
+            options,
+            limits,
         )
         self._membership_manager = membership_manager.MembershipManager(
-            me.vm_id,
+            local_vm.vm_id,
             topology.first_groups(vms) if first is None else first,
             frozenset(vm.vm_id for vm in vms if vm.has_disk),
             network,
@@ -95,7 +101,7 @@
             choice,
         )
         self._forwarder = leader_forwarder.Forwarder(
-            me.vm_id, network, clock, self._leader_of, self._replica_vms
+            local_vm.vm_id, network, clock, self._leader_of, self._replica_vms
         )
         self._discovering: set[str] = set()
         network.on_call(forwarded.ForwardedProposal, self._on_proposal)
@@ -213,7 +219,7 @@
         """
         self._membership_manager.set_make_up(desired_voters)
 
-    async def transfer(
+    async def transfer_leadership(
         self, group: str, vm: str | None, deadline: float
     ) -> None:
         """Transfers the leadership of a group.
@@ -263,7 +269,7 @@
         groups_here = {
             name
             for name, vms in self._membership_manager.desired_voters.items()
-            if self._me.vm_id in vms
+            if self._local_vm.vm_id in vms
         }
         return sorted(groups_here | set(self._replicas.stored_groups()))
 
@@ -285,7 +291,7 @@
         hosted = self._replicas.hosted.get(name)
         if hosted is None:
             raise engines.NotLeaderError(
-                f"{self._me.vm_id} hosts no replica of {name!r}"
+                f"{self._local_vm.vm_id} hosts no replica of {name!r}"
             )
         return hosted
 
@@ -337,11 +343,11 @@
         self, name: str, vm: str | None, deadline: float
     ) -> forwarded.Outcome:
         hosted = self._hosted(name)
-        if hosted.leads and vm == self._me.vm_id:
+        if hosted.leads and vm == self._local_vm.vm_id:
             return forwarded.Outcome()
         target = vm or self._most_advanced_voter(hosted)
         try:
-            hosted.transfer(target)
+            hosted.transfer_leadership(target)
         except errors.InvalidInputError as error:
             return forwarded.Outcome(refusal=error)
         self._replicas.schedule(name)
@@ -440,7 +446,7 @@
         groups_here = {
             name
             for name, vms in self._membership_manager.desired_voters.items()
-            if self._me.vm_id in vms and name not in self._discovering
+            if self._local_vm.vm_id in vms and name not in self._discovering
         }
         groups_here |= self._replicas.waiting_for_space
         return sorted(groups_here - self._replicas.hosted.keys())
--- a/laburnumsill/consensus/host_replicas.py
+++ b/laburnumsill/consensus/host_replicas.py
@@ -127,7 +127,7 @@
         logs.event(
             "replica-opened",
             group=name,
-            incarnation=group.me.incarnation,
+            incarnation=group.replica_id.incarnation,
             fresh=group.is_fresh,
             disk=replica_store.with_disk,
             last_index=group.engine.last_index,
--- a/laburnumsill/consensus/host_status.py
+++ b/laburnumsill/consensus/host_status.py
@@ -47,8 +47,8 @@
     leader = engine.leader
     return GroupStatus(
         group=group.name,
-        vm=group.me.vm,
-        incarnation=group.me.incarnation,
+        vm=group.replica_id.vm,
+        incarnation=group.replica_id.incarnation,
         role=engine.role,
         term=engine.term,
         leader=leader.vm if leader else None,
--- a/laburnumsill/consensus/leader_forwarder.py
+++ b/laburnumsill/consensus/leader_forwarder.py
@@ -72,7 +72,7 @@
     are idempotent, and only a retry can determine the outcome.
 
     Args:
-        me: The id of this VM.
+        local_vm: The id of this VM.
         peers: The connections to the other VMs.
         clock: The clock of this process.
         leader: Returns the VM that leads a group according to this VM's
@@ -85,14 +85,14 @@
 
     def __init__(
         self,
-        me: str,
+        local_vm: str,
         peers: replication.Peers,
         clock: clocks.Clock,
         leader: abc.Callable[[str], str | None],
         replica_vms: abc.Callable[[str], abc.Sequence[str]],
         max_call_timeout_s: float | None = None,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._peers = peers
         self._clock = clock
         self._leader = leader
@@ -172,7 +172,7 @@
             raise errors.NoQuorumError(error.detail) from error
 
     async def _call(self, vm: str, request: LeaderRequest) -> forwarded.Outcome:
-        if vm == self._me:
+        if vm == self._local_vm:
             return await request.run_locally(request.deadline)
         if self._max_call_timeout_s is not None and not request.read_only:
             await self._confirm_leadership(vm, request)
--- a/laburnumsill/consensus/leader_state.py
+++ b/laburnumsill/consensus/leader_state.py
@@ -78,7 +78,9 @@
         ]
         if len(writable) < membership_module.majority(membership):
             return []
-        return [member for member in writable if member != self._replica.me]
+        return [
+            member for member in writable if member != self._replica.replica_id
+        ]
 
     @property
     def next_tick(self) -> float:
@@ -125,7 +127,7 @@
         """Adds a read to the next heartbeat round."""
         self._reads.add(read_id)
 
-    def transfer(self, vm: str) -> None:
+    def transfer_leadership(self, vm: str) -> None:
         """Begins a leadership transfer to the voter on `vm`.
 
         Raises:
@@ -133,14 +135,14 @@
         """
         replica = self._replica
         for voter in replica.log.membership.voters:
-            if voter.vm == vm and voter != replica.me:
+            if voter.vm == vm and voter != replica.replica_id:
                 self._transfer_to = voter
                 self._timeout_now_sent = False
                 self._transfer_deadline = (
                     replica.now + replica.options.election_timeout_s
                 )
                 return
-        if vm != replica.me.vm:
+        if vm != replica.replica_id.vm:
             raise engine_errors.NoSuchVoterError(
                 f"no voter of group {replica.group} is on {vm!r}", vm=vm
             )
@@ -236,20 +238,20 @@
         for removed_member in self.progress.keys() - set(all_members):
             del self.progress[removed_member]
         for member in all_members:
-            if member != replica.me and member not in self.progress:
+            if member != replica.replica_id and member not in self.progress:
                 self.progress[member] = progress_module.Progress(
                     replica.log.last_index + 1, replica.now, replica.options
                 )
 
     def _last_contact_at(self, voter: types.ReplicaId) -> float:
-        if voter == self._replica.me:
+        if voter == self._replica.replica_id:
             return self._replica.now
         return self.progress[voter].last_contact_at
 
     def _is_writable(self, voter: types.ReplicaId) -> bool:
         """Returns whether a voter is reachable and able to write."""
         replica = self._replica
-        if voter == replica.me:
+        if voter == replica.replica_id:
             return replica.writable
         progress = self.progress[voter]
         unreachable_at = (
@@ -265,17 +267,17 @@
         )
 
     def _match_index(self, voter: types.ReplicaId) -> int:
-        if voter == self._replica.me:
+        if voter == self._replica.replica_id:
             return self._replica.durable
         return self.progress[voter].match
 
     def _synced_index(self, voter: types.ReplicaId) -> int:
-        if voter == self._replica.me:
+        if voter == self._replica.replica_id:
             return self._replica.durable if self._replica.has_disk else 0
         return self.progress[voter].synced
 
     def _acked_round(self, voter: types.ReplicaId) -> int:
-        if voter == self._replica.me:
+        if voter == self._replica.replica_id:
             return self._reads.newest_round
         return self.progress[voter].round
 
@@ -408,7 +410,9 @@
         if not transfer_targets:
             self._transfer_to = None
         elif not self.transferring:
-            self.transfer(max(transfer_targets, key=self._match_index).vm)
+            self.transfer_leadership(
+                max(transfer_targets, key=self._match_index).vm
+            )
 
     def _send_timeout_now(self) -> None:
         target = self._transfer_to
--- a/laburnumsill/consensus/membership_manager.py
+++ b/laburnumsill/consensus/membership_manager.py
@@ -43,7 +43,7 @@
     """Bootstraps, joins and recovers groups, and changes their membership.
 
     Args:
-        me: The id of this VM.
+        local_vm: The id of this VM.
         first: The initial voters by group.
         disks: The VMs that have a disk.
         peers: The connections to the other VMs.
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        me: str,
+        local_vm: str,
         initial_voters: abc.Mapping[str, abc.Sequence[str]],
         disks: frozenset[str],
         peers: replication.Peers,
@@ -63,7 +63,7 @@
         options: engines.Options,
         choice: voter_choice.VoterChoice | None = None,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._choice = choice
         self._join_requested_at: dict[str, dict[str, float]] = {}
         self._initial_voters = initial_voters
@@ -149,8 +149,8 @@
         vms = dict.fromkeys(
             [*initial_voters, *desired, *(v.vm for v in voters)]
         )
-        vms.pop(self._me, None)
-        hello = host_messages.Hello(name, group.me, group.with_disk)
+        vms.pop(self._local_vm, None)
+        hello = host_messages.Hello(name, group.replica_id, group.with_disk)
         deadline = self._clock.monotonic() + HELLO_TIMEOUT_S
         answers = await group_bootstrap.send_hellos(
             self._peers, vms, hello, deadline
@@ -158,14 +158,14 @@
         self._record_leader(name, answers)
         if group.is_fresh and self._is_bootstrap_vm(name):
             membership = group_bootstrap.initial_membership(
-                group.me, group.with_disk, initial_voters, answers
+                group.replica_id, group.with_disk, initial_voters, answers
             )
             if membership is not None:
                 await group.bootstrap(membership)
                 return False
         if group.is_member and not group.is_fresh:
             self._recover_if_due(group, answers)
-        if self._me in desired:
+        if self._local_vm in desired:
             return False
         return group.is_fresh or any(
             answer.established and answer.leader and not answer.member
@@ -209,7 +209,9 @@
     ) -> None:
         """Continues with the surviving voters if `host_recovery` allows it."""
         recovery = host_recovery.recovery_membership(
-            group.engine.membership, _hello_answer(group, group.me), answers
+            group.engine.membership,
+            _hello_answer(group, group.replica_id),
+            answers,
         )
         if recovery is None:
             return
@@ -257,18 +259,18 @@
         return voter_choice.VoterView(
             tuple(dict.fromkeys(v.vm for v in engine.membership.voters)),
             tuple(dict.fromkeys(v.vm for v in engine.membership.learners)),
-            {**last_contact_at, self._me: self._clock.monotonic()},
+            {**last_contact_at, self._local_vm: self._clock.monotonic()},
             self._join_requested_at.get(group.name, {}),
             self._clock.monotonic(),
         )
 
     def _is_bootstrap_vm(self, name: str) -> bool:
         initial_voters = self._initial_voters.get(name, ())
-        if self._me not in initial_voters:
+        if self._local_vm not in initial_voters:
             return False
         return (
             group_bootstrap.bootstrap_vm(initial_voters, self._disks)
-            == self._me
+            == self._local_vm
         )
 
     def _view(
@@ -292,7 +294,7 @@
             self._target_voters(group),
             self._join_requests.get(group.name, {}),
             frozenset(caught_up),
-            frozenset(alive | {group.me}),
+            frozenset(alive | {group.replica_id}),
             self._disks,
             self._desired_learners(group),
         )
@@ -304,7 +306,7 @@
     engine = group.engine
     membership = engine.membership
     return host_messages.HelloAnswer(
-        replica=group.me,
+        replica=group.replica_id,
         fresh=group.is_fresh,
         with_disk=group.with_disk,
         member=sender in membership.voters + membership.learners,
--- a/laburnumsill/consensus/options.py
+++ b/laburnumsill/consensus/options.py
@@ -25,8 +25,8 @@
         retained_bytes: Entry bytes retained behind a snapshot, so that a
             follower that lags slightly needs no snapshot.
         max_retained_bytes: Entry bytes retained while a snapshot is being sent.
-        learns_patience: Whether the election timeout adapts to the intervals
-            between leader messages; turned off only for measurements.
+        adaptive_election_timeout: Whether the election timeout adapts to the
+            intervals between leader messages; turned off only for measurements.
     """
 
     election_timeout_s: float = 1.0
@@ -37,4 +37,4 @@
     max_in_flight_bytes: int = 1048576
     retained_bytes: int = 262144
     max_retained_bytes: int = 8388608
-    learns_patience: bool = True
+    adaptive_election_timeout: bool = True
--- a/laburnumsill/consensus/remote.py
+++ b/laburnumsill/consensus/remote.py
@@ -22,7 +22,7 @@
     """Forwards commands and queries to the leaders of the groups.
 
     Args:
-        me: The id of this VM.
+        local_vm: The id of this VM.
         peers: The connections to the other VMs.
         clock: The clock of this process.
         hosts: Returns the VMs that may host replicas.
@@ -30,7 +30,7 @@
 
     def __init__(
         self,
-        me: str,
+        local_vm: str,
         peers: replication.Peers,
         clock: clocks.Clock,
         hosts: abc.Callable[[], abc.Sequence[str]],
@@ -38,7 +38,7 @@
         self._clock = clock
         self._hosts = hosts
         self._forwarder = leader_forwarder.Forwarder(
-            me, peers, clock, lambda _: None, self._replica_vms, ATTEMPT_S
+            local_vm, peers, clock, lambda _: None, self._replica_vms, ATTEMPT_S
         )
 
     async def propose(
--- a/laburnumsill/consensus/replica.py
+++ b/laburnumsill/consensus/replica.py
@@ -14,7 +14,7 @@
 
     Attributes:
         group: Name of the group.
-        me: Id of this replica.
+        replica_id: Id of this replica.
         options: Settings of the engine.
         random: Random source of the election timeouts.
         now: The latest monotonic time that the host passed in.
@@ -29,14 +29,14 @@
     def __init__(
         self,
         group: str,
-        me: types.ReplicaId,
-        stored: types.Stored,
+        replica_id: types.ReplicaId,
+        stored: types.StoredState,
         options: options_module.Options,
         now: float,
         source: random.Random,
     ) -> None:
         self.group = group
-        self.me = me
+        self.replica_id = replica_id
         self.options = options
         self.random = source
         self.now = now
@@ -72,7 +72,7 @@
     @property
     def is_voter(self) -> bool:
         """Whether this replica is a voter in its latest membership."""
-        return self.me in self.log.membership.voters
+        return self.replica_id in self.log.membership.voters
 
     @property
     def may_campaign(self) -> bool:
@@ -82,7 +82,7 @@
         entries that the other voters lack, it refuses them its vote, and only
         it can become leader and commit its own removal.
         """
-        return self.log.is_voter_at_or_after(self.committed, self.me)
+        return self.log.is_voter_at_or_after(self.committed, self.replica_id)
 
     @property
     def has_committed_in_term(self) -> bool:
@@ -111,7 +111,7 @@
         """Adds a message to the output, by default with the current term."""
         message_term = self.term if term is None else term
         self._messages.append(
-            types.Message(kind, self.me, target, message_term, **fields)
+            types.Message(kind, self.replica_id, target, message_term, **fields)
         )
 
     def append(self, entry: types.Entry) -> None:
--- a/laburnumsill/consensus/roles.py
+++ b/laburnumsill/consensus/roles.py
@@ -53,7 +53,7 @@
         if self.leadership:
             raise engine_errors.LogBrokenError(
                 f"two leaders in term {self._replica.term}: {leader!r} and"
-                f" {self._replica.me!r}"
+                f" {self._replica.replica_id!r}"
             )
         followed = (leader, self._replica.term)
         if followed != self._followed:
@@ -141,7 +141,7 @@
         if campaign.stage is election.Stage.PRE_VOTE:
             self.start_campaign(election.Stage.VOTE, for_transfer=False)
             return
-        self.leader = self._replica.me
+        self.leader = self._replica.replica_id
         self.leadership = leader_state.Leadership(self._replica)
 
     def step_down(self) -> None:
--- a/laburnumsill/consensus/store.py
+++ b/laburnumsill/consensus/store.py
@@ -156,7 +156,7 @@
 
     @property
     @abc.abstractmethod
-    def stored(self) -> types.Stored:
+    def stored(self) -> types.StoredState:
         """The state that was read when the store was opened."""
 
     @property
@@ -187,7 +187,7 @@
         """Closes the store; committed changes stay stored."""
 
 
-def is_fresh(stored: types.Stored) -> bool:
+def is_fresh(stored: types.StoredState) -> bool:
     """Returns whether a store holds no state besides its incarnation."""
     return (
         stored.hard_state == types.HardState()
@@ -208,11 +208,13 @@
     """
 
     def __init__(self) -> None:
-        self._stored = types.Stored(ids.fresh("r"), types.HardState(), None, ())
+        self._stored = types.StoredState(
+            ids.fresh("r"), types.HardState(), None, ()
+        )
         self._log_bytes = 0
 
     @property
-    def stored(self) -> types.Stored:
+    def stored(self) -> types.StoredState:
         """The empty state of a new incarnation."""
         return self._stored
 
--- a/laburnumsill/consensus/store_disk.py
+++ b/laburnumsill/consensus/store_disk.py
@@ -85,7 +85,7 @@
             raise store.storage_error(error, folder) from error
 
     @property
-    def stored(self) -> types.Stored:
+    def stored(self) -> types.StoredState:
         """The state that was read when the store was opened."""
         return self._stored
 
@@ -125,7 +125,7 @@
         self._log_opened(replayed)
         self._incarnation = replayed.incarnation or ids.fresh("r")
         self._hard_state = replayed.hard_state
-        self._stored = types.Stored(
+        self._stored = types.StoredState(
             self._incarnation,
             replayed.hard_state,
             replayed.snapshot,
--- a/laburnumsill/consensus/tests/managed_group.py
+++ b/laburnumsill/consensus/tests/managed_group.py
@@ -48,7 +48,7 @@
 
     def __init__(self, host: simulated_group.Host, now: float) -> None:
         self._now = now
-        self.me = host.me
+        self.replica_id = host.replica_id
         self.engine = host.engine
 
     @property
@@ -58,7 +58,7 @@
     @property
     def is_member(self) -> bool:
         membership = self.engine.membership
-        return self.me in membership.voters + membership.learners
+        return self.replica_id in membership.voters + membership.learners
 
     def propose_membership(self, membership: types.Membership) -> None:
         self.engine.propose_membership(membership, self._now)
@@ -164,9 +164,9 @@
     def _send_hello(
         self, hosted: _HostedReplica, running: dict[str, simulated_group.Host]
     ) -> None:
-        hello = host_messages.Hello(GROUP, hosted.me, True)
+        hello = host_messages.Hello(GROUP, hosted.replica_id, True)
         for vm, host in running.items():
-            link = frozenset((vm, hosted.me.vm))
+            link = frozenset((vm, hosted.replica_id.vm))
             if vm in self._managers and self.now >= self.cut.get(link, 0.0):
                 self._managers[vm].answer_hello(
                     hello, _HostedReplica(host, self.now)
--- a/laburnumsill/consensus/tests/simulated_group.py
+++ b/laburnumsill/consensus/tests/simulated_group.py
@@ -43,7 +43,7 @@
 class Disk:
     """The synced state of one replica."""
 
-    def __init__(self, stored: types.Stored) -> None:
+    def __init__(self, stored: types.StoredState) -> None:
         self.stored = stored
 
     def write(self, output: types.Output, kept: int | None = None) -> None:
@@ -53,7 +53,7 @@
             self.stored.snapshot,
             list(self.stored.entries),
         )
-        records = [output.hard_state, output.install, *output.append]
+        records = [output.hard_state, output.snapshot, *output.entries]
         for record in [one for one in records if one is not None][:kept]:
             if isinstance(record, types.HardState):
                 hard_state = record
@@ -78,7 +78,7 @@
 
 def _has_writes(output: types.Output) -> bool:
     """Returns whether the output has anything to store."""
-    return bool(output.hard_state or output.install or output.append)
+    return bool(output.hard_state or output.snapshot or output.entries)
 
 
 class Host:
@@ -94,16 +94,16 @@
         boot_at: When a process that is down restarts.
     """
 
-    def __init__(self, group: "Group", me: types.ReplicaId) -> None:
+    def __init__(self, group: "Group", replica_id: types.ReplicaId) -> None:
         self.group = group
-        self.me = me
+        self.replica_id = replica_id
         self.disk = Disk(
-            types.Stored(
-                me.incarnation,
+            types.StoredState(
+                replica_id.incarnation,
                 types.HardState(),
                 None,
                 (),
-                with_disk=me.vm in group.disks,
+                with_disk=replica_id.vm in group.disks,
             )
         )
         self.paused_until = 0.0
@@ -114,7 +114,12 @@
     def boot(self) -> None:
         stored = self.disk.stored
         self.engine: engine.Engine | None = engine.Engine(
-            "g", self.me, stored, OPTIONS, self.group.now, self.group.random
+            "g",
+            self.replica_id,
+            stored,
+            OPTIONS,
+            self.group.now,
+            self.group.random,
         )
         self.applied = stored.snapshot.index if stored.snapshot else 0
         self.values = self._load(stored.snapshot)
@@ -202,14 +207,14 @@
         self.disk.write(output)
         for message in output.messages:
             self.group.send(message)
-        if output.append:
-            last = output.append[-1]
-            self.engine.synced(last.index, last.term)
+        if output.entries:
+            last = output.entries[-1]
+            self.engine.on_synced(last.index, last.term)
 
     def _apply_output(self, output: types.Output) -> None:
-        if output.install:
-            self.applied = output.install.index
-            self.values = self._load(output.install)
+        if output.snapshot:
+            self.applied = output.snapshot.index
+            self.values = self._load(output.snapshot)
         for entry in output.committed:
             self._apply(entry)
         for read in output.reads:
@@ -286,11 +291,13 @@
         for vm in vms:
             self.add(vm)
         founder = self.hosts[vms[0]]
-        voters = tuple(self.hosts[vm].me for vm in vms)
+        voters = tuple(self.hosts[vm].replica_id for vm in vms)
         marked = self.disks if counted is None else frozenset(counted)
         founding = types.Membership(voters, (), marked & set(vms))
-        hard_state, entry = engine.Engine.found("g", founder.me, founding)
-        output = types.Output(hard_state=hard_state, append=(entry,))
+        hard_state, entry = engine.Engine.bootstrap(
+            "g", founder.replica_id, founding
+        )
+        output = types.Output(hard_state=hard_state, entries=(entry,))
         founder.disk.write(output)
         founder.boot()
 
@@ -299,8 +306,8 @@
         self._incarnations += 1
         if vm in self.hosts:
             self.retired.append(self.hosts[vm])
-        me = types.ReplicaId(vm, f"i{self._incarnations}")
-        self.hosts[vm] = Host(self, me)
+        replica_id = types.ReplicaId(vm, f"i{self._incarnations}")
+        self.hosts[vm] = Host(self, replica_id)
         return self.hosts[vm]
 
     def leader(self) -> Host | None:
@@ -405,7 +412,7 @@
     def check_output(self, host: Host, output: types.Output) -> None:
         raft = host.engine
         assert raft is not None
-        for entry in output.append:
+        for entry in output.entries:
             self._check_log_matching(raft, entry)
         for entry in output.committed:
             expected = self.committed.setdefault(entry.index, entry)
@@ -428,9 +435,9 @@
         raft = host.engine
         assert raft is not None
         expected = self.leaders.get(raft.term)
-        assert expected in (None, host.me), "election safety"
+        assert expected in (None, host.replica_id), "election safety"
         if expected is None:
-            self.leaders[raft.term] = host.me
+            self.leaders[raft.term] = host.replica_id
             for index, entry in self.committed.items():
                 term = raft.term_at(index)
                 complete = index < raft.committed or term == entry.term
--- a/laburnumsill/consensus/tests/store_model.py
+++ b/laburnumsill/consensus/tests/store_model.py
@@ -7,14 +7,14 @@
 from laburnumsill.consensus import types
 
 
-def last_index(stored: types.Stored) -> int:
+def last_index(stored: types.StoredState) -> int:
     """Returns the index of the last entry, else that of the snapshot."""
     if stored.entries:
         return stored.entries[-1].index
     return stored.snapshot.index if stored.snapshot else 0
 
 
-def same(left: types.Stored, right: types.Stored) -> bool:
+def same(left: types.StoredState, right: types.StoredState) -> bool:
     """Returns whether two states are equal apart from their incarnations."""
     return (left.hard_state, left.snapshot, left.entries) == (
         right.hard_state,
@@ -24,8 +24,8 @@
 
 
 def states(
-    stored: types.Stored, changes: abc.Iterable[store.Change]
-) -> list[types.Stored]:
+    stored: types.StoredState, changes: abc.Iterable[store.Change]
+) -> list[types.StoredState]:
     """Returns the states from `stored` on through each record of `changes`.
 
     A commit of `changes` that is interrupted may leave any of them. The first
@@ -42,16 +42,20 @@
     return reached
 
 
-def _after_snapshot(stored: types.Stored, change: store.Change) -> types.Stored:
+def _after_snapshot(
+    stored: types.StoredState, change: store.Change
+) -> types.StoredState:
     tail = tuple(e for e in stored.entries if e.index > change.snapshot.index)
     kept = tail if change.keep_tail else ()
     return _with(stored, snapshot=change.snapshot, entries=kept)
 
 
-def _after_entry(stored: types.Stored, entry: types.Entry) -> types.Stored:
+def _after_entry(
+    stored: types.StoredState, entry: types.Entry
+) -> types.StoredState:
     kept = tuple(e for e in stored.entries if e.index < entry.index)
     return _with(stored, entries=(*kept, entry))
 
 
-def _with(stored: types.Stored, **fields: object) -> types.Stored:
+def _with(stored: types.StoredState, **fields: object) -> types.StoredState:
     return dataclasses.replace(stored, **fields)
--- a/laburnumsill/consensus/tests/test_disk_and_power_loss.py
+++ b/laburnumsill/consensus/tests/test_disk_and_power_loss.py
@@ -38,7 +38,7 @@
     group.load = 0.0
     group.run_until(group.leader)
     leader = group.leader()
-    assert leader.me.vm not in vms_without_disk
+    assert leader.replica_id.vm not in vms_without_disk
     group.run_until(lambda: group.leader().applied >= acknowledged_index)
     last_writes = []
 
--- a/laburnumsill/consensus/tests/test_engine.py
+++ b/laburnumsill/consensus/tests/test_engine.py
@@ -29,7 +29,7 @@
     with pytest.raises(engine.NotLeaderError) as raised:
         other = next(x for x in group.hosts.values() if x is not leader)
         other.engine.propose(b"x", group.now)
-    assert raised.value.leader == leader.me.vm
+    assert raised.value.leader == leader.replica_id.vm
 
 
 def test_lagging_follower_receives_snapshot_and_later_entries():
@@ -49,7 +49,7 @@
 def test_isolated_leader_steps_down_and_fails_its_reads():
     group, leader = elected_group()
     group.run(1.0)  # until every replica has the first membership
-    group.isolate(leader.me.vm)
+    group.isolate(leader.replica_id.vm)
     read = group.read(leader)
     write = group.write(leader, b"x")
     group.run(engine.Options().election_timeout_s + 0.1)
@@ -67,16 +67,16 @@
 def test_transfer():
     group, leader = elected_group()
     target = next(x for x in group.hosts.values() if x is not leader)
-    leader.engine.transfer(target.me.vm, group.now)
+    leader.engine.transfer_leadership(target.replica_id.vm, group.now)
     group.run_until(lambda: group.leader() is target, 2.0)
     with pytest.raises(engine.NotLeaderError):
-        leader.engine.transfer(target.me.vm, group.now)
+        leader.engine.transfer_leadership(target.replica_id.vm, group.now)
 
 
 def test_no_commit_without_a_synced_disk():
     group, leader = elected_group("abcde", "a")
-    if leader.me.vm != "a":
-        leader.engine.transfer("a", group.now)
+    if leader.replica_id.vm != "a":
+        leader.engine.transfer_leadership("a", group.now)
         group.run_until(lambda: group.leader() is group.hosts["a"])
     run_until_done(group, group.write(group.leader(), b"x"))
     group.hosts["a"].crash()
@@ -89,14 +89,18 @@
 
 
 def test_messages_to_another_incarnation_are_dropped():
-    me = types.ReplicaId("a", "new")
-    stored = types.Stored("new", types.HardState(), None, ())
+    replica_id = types.ReplicaId("a", "new")
+    stored = types.StoredState("new", types.HardState(), None, ())
     group, _ = elected_group()
     replica = engine.Engine(
-        "g", me, stored, engine.Options(), 0.0, group.random
+        "g", replica_id, stored, engine.Options(), 0.0, group.random
     )
     vote = types.Message(
-        types.MessageKind.VOTE, types.ReplicaId("b", "i"), me, 9, index=5
+        types.MessageKind.VOTE,
+        types.ReplicaId("b", "i"),
+        replica_id,
+        9,
+        index=5,
     )
     old = types.ReplicaId("a", "old")
     replica.step(dataclasses.replace(vote, target=old), 0.0)
@@ -127,7 +131,7 @@
     group, _ = elected_group("abc", "abc")
     group.hosts["b"].crash()
     group.elect()
-    new_replica = group.add("d").me
+    new_replica = group.add("d").replica_id
     steps = (
         lambda m: dataclasses.replace(m, learners=(new_replica,)),
         lambda m: types.Membership((*m.voters, new_replica), (), m.with_disk),
@@ -154,11 +158,11 @@
     group, leader = elected_group("abc", "abc")
     group.run(1.0)
     wiped, lagging = (x for x in group.hosts.values() if x is not leader)
-    group.isolate(lagging.me.vm)
+    group.isolate(lagging.replica_id.vm)
     write = group.write(leader, b"only on two")
     run_until_done(group, write)
     leader.crash(seconds=20.0)
-    group.add(wiped.me.vm)
+    group.add(wiped.replica_id.vm)
     group.cut.clear()
     group.run(15.0)
     assert group.leader() is None
@@ -172,7 +176,7 @@
     group, leader = elected_group()
     run_until_done(group, group.write(leader, b"x"))
     remaining = tuple(
-        x for x in leader.engine.membership.voters if x != leader.me
+        x for x in leader.engine.membership.voters if x != leader.replica_id
     )
     group.change_membership(leader, types.Membership(remaining))
     group.run(3.0)
@@ -186,9 +190,9 @@
     group, leader = elected_group()
     run_until_done(group, group.write(leader, b"x"))
     removed = next(x for x in group.hosts.values() if x is not leader)
-    group.isolate(removed.me.vm)
+    group.isolate(removed.replica_id.vm)
     remaining = tuple(
-        x for x in leader.engine.membership.voters if x != removed.me
+        x for x in leader.engine.membership.voters if x != removed.replica_id
     )
     group.change_membership(leader, types.Membership(remaining))
     group.run(1.0)
--- a/laburnumsill/consensus/tests/test_engine_machine.py
+++ b/laburnumsill/consensus/tests/test_engine_machine.py
@@ -78,7 +78,7 @@
     )
     def crash(self, number, kept, down, turns):
         host = self.host(number)
-        if host.me.vm in self.disks:
+        if host.replica_id.vm in self.disks:
             host.crash(kept, down * 0.05)
         else:
             self.lose(host)
@@ -97,7 +97,7 @@
     def lose_disk(self, number, cut, turns):
         leader = self.group.leader()
         if leader and number % 2:
-            self.group.isolate(leader.me.vm, cut * 0.05)
+            self.group.isolate(leader.replica_id.vm, cut * 0.05)
         self.lose(self.host(number))
         self.advance(turns)
 
@@ -116,13 +116,15 @@
         until = self.group.now + full * 0.05
         for place in range(count):
             host = self.host(number + place)
-            if host.me.vm in self.disks:
+            if host.replica_id.vm in self.disks:
                 host.full_until = until
         self.advance(turns)
 
     @stateful.rule(one=NUMBERS, other=NUMBERS, cut=TURNS, turns=TURNS)
     def cut(self, one, other, cut, turns):
-        pair = frozenset((self.host(one).me.vm, self.host(other).me.vm))
+        pair = frozenset(
+            (self.host(one).replica_id.vm, self.host(other).replica_id.vm)
+        )
         self.group.cut[pair] = self.group.now + cut * 0.05
         self.advance(turns)
 
@@ -130,7 +132,7 @@
     def isolate(self, number, cut, turns):
         leader = self.group.leader()
         host = leader if leader and number % 2 else self.host(number)
-        self.group.isolate(host.me.vm, cut * 0.05)
+        self.group.isolate(host.replica_id.vm, cut * 0.05)
         self.advance(turns)
 
     @stateful.rule(loss=RATES, duplicates=RATES, delay=RATES)
@@ -141,12 +143,12 @@
         self.advance(5)
 
     @stateful.rule(number=NUMBERS)
-    def transfer(self, number):
+    def transfer_leadership(self, number):
         leader = self.group.leader()
         if leader:
-            vm = self.host(number).me.vm
+            vm = self.host(number).replica_id.vm
             with contextlib.suppress(*REFUSALS):
-                leader.engine.transfer(vm, self.group.now)
+                leader.engine.transfer_leadership(vm, self.group.now)
         self.advance(5)
 
     @stateful.rule(number=NUMBERS, turns=TURNS)
@@ -167,16 +169,18 @@
     def changes(self, current):
         """Yields the memberships that an operator could propose now."""
         members = (*current.voters, *current.learners)
-        live = {host.me for host in self.group.hosts.values()}
-        for me in sorted(live - set(members)):
-            yield self.with_disks(current.voters, (*current.learners, me))
-        for me in current.learners:
-            rest = tuple(one for one in current.learners if one != me)
+        live = {host.replica_id for host in self.group.hosts.values()}
+        for replica_id in sorted(live - set(members)):
+            yield self.with_disks(
+                current.voters, (*current.learners, replica_id)
+            )
+        for replica_id in current.learners:
+            rest = tuple(one for one in current.learners if one != replica_id)
             yield self.with_disks(current.voters, rest)
-            if me in live:
-                yield self.with_disks((*current.voters, me), rest)
-        for me in current.voters:
-            rest = tuple(one for one in current.voters if one != me)
+            if replica_id in live:
+                yield self.with_disks((*current.voters, replica_id), rest)
+        for replica_id in current.voters:
+            rest = tuple(one for one in current.voters if one != replica_id)
             lost = sum(one not in live for one in rest)
             survivable = len(rest) >= 3 and lost <= (len(rest) - 1) // 2
             if survivable and any(
@@ -195,7 +199,9 @@
         In every membership in effect, a majority of the voters and one of the
         disks must stay.
         """
-        live = {one.me for one in self.group.hosts.values()} - {host.me}
+        live = {one.replica_id for one in self.group.hosts.values()} - {
+            host.replica_id
+        }
         for known in self.memberships():
             lost = sum(one not in live for one in known.voters)
             disks = [x for x in known.voters if x.vm in known.with_disk]
@@ -204,7 +210,7 @@
             if disks and not any(one in live for one in disks):
                 return
         if self.group.completed:
-            self.group.add(host.me.vm)
+            self.group.add(host.replica_id.vm)
 
     def memberships(self):
         """Yields each membership that is in effect at some replica."""
@@ -232,7 +238,7 @@
         return all(
             host.values == leader.values
             for host in self.group.hosts.values()
-            if host.me in (*current.voters, *current.learners)
+            if host.replica_id in (*current.voters, *current.learners)
         )
 
     def last_write_done(self):
--- a/laburnumsill/consensus/tests/test_engine_rules.py
+++ b/laburnumsill/consensus/tests/test_engine_rules.py
@@ -31,7 +31,7 @@
 
 def new_engine(hard_state, *entries):
     log = (FOUNDING, *entries)
-    stored = types.Stored("i", hard_state, None, log, with_disk=True)
+    stored = types.StoredState("i", hard_state, None, log, with_disk=True)
     options = engine.Options()
     return engine.Engine("g", A, stored, options, 0.0, random.Random(1))
 
@@ -79,7 +79,7 @@
     send(leader, KIND.HEARTBEAT, B, 3, commit=1)
     win_election(leader)
     assert (leader.role, leader.term) == ("leader", 4)
-    leader.synced(3, 4)
+    leader.on_synced(3, 4)
     send(leader, KIND.APPEND_REPLY, B, 4, granted=True, index=2)
     assert leader.committed == 1
     with pytest.raises(engine.MembershipPendingError):
@@ -137,9 +137,9 @@
     send(replica, KIND.APPEND, C, 3, entries=(entry(2, 3),), **position)
     win_election(replica)
     send(replica, KIND.APPEND_REPLY, B, 4, granted=True, index=3)
-    replica.synced(3, 2)
+    replica.on_synced(3, 2)
     assert replica.committed == 0
-    replica.synced(3, 4)
+    replica.on_synced(3, 4)
     assert replica.committed == 3
 
 
@@ -154,7 +154,7 @@
 def test_idle_leader_sends_one_heartbeat_per_interval_to_each_member():
     leader = new_engine(types.HardState(1, None))
     win_election(leader)
-    leader.synced(2, 2)
+    leader.on_synced(2, 2)
     for member in (B, C):
         send(leader, KIND.APPEND_REPLY, member, 2, granted=True, index=2)
     leader.take_output()
@@ -173,7 +173,7 @@
 def test_lagging_member_catches_up_under_continuous_reads():
     group = simulated_group.Group("abc", "abc", 5)
     leader = group.elect()
-    lagging = next(vm for vm in "abc" if vm != leader.me.vm)
+    lagging = next(vm for vm in "abc" if vm != leader.replica_id.vm)
 
     def generate_load(seconds):
         for _ in range(round(seconds / 0.05)):
@@ -184,7 +184,7 @@
     generate_load(1.0)
     group.isolate(lagging, 4.0)  # messages in flight are lost
     generate_load(6.0)
-    progress = leader.engine.progress[group.hosts[lagging].me]
+    progress = leader.engine.progress[group.hosts[lagging].replica_id]
     assert progress.match >= leader.engine.committed - 5
 
 
@@ -248,7 +248,7 @@
     assert follower.role == "follower"
     assert follower.take_output() == types.Output()
     follower.set_writable(True)
-    assert send(follower, KIND.APPEND, B, 2, **more).append == (entry(2, 2),)
+    assert send(follower, KIND.APPEND, B, 2, **more).entries == (entry(2, 2),)
 
 
 def test_unwritable_replica_follows_and_reports_it():
@@ -273,7 +273,7 @@
 
 def test_unwritable_leader_transfers_once_the_others_committed_its_log():
     everyone = dataclasses.replace(THREE, with_disk=frozenset("abc"))
-    stored = types.Stored(
+    stored = types.StoredState(
         "i",
         types.HardState(1, None),
         None,
@@ -342,7 +342,7 @@
     host aligns its ticks, and the election timeout would double.
     """
     options = engine.Options(0.8, 0.1)
-    stored = types.Stored(
+    stored = types.StoredState(
         "i", types.HardState(1, None), None, (FOUNDING,), with_disk=True
     )
     leader = engine.Engine("g", A, stored, options, 0.0, random.Random(1))
@@ -350,7 +350,7 @@
     for kind in (KIND.PRE_VOTE_REPLY, KIND.VOTE_REPLY):
         leader.step(types.Message(kind, B, A, 2, granted=True), 10.0)
     leader.take_output()
-    leader.synced(2, 2)
+    leader.on_synced(2, 2)
     first = types.Message(KIND.APPEND_REPLY, B, A, 2, granted=True, index=2)
     leader.step(first, 10.0)
     assert leader.committed == 2
--- a/laburnumsill/consensus/tests/test_host.py
+++ b/laburnumsill/consensus/tests/test_host.py
@@ -134,12 +134,12 @@
     await leader.host.hand_over()
     await cluster.wait_until(lambda: cluster.leader() not in (None, leader), 1)
     assert cluster.leader().status().term == term + 1
-    await cluster.nodes[0].host.transfer(
+    await cluster.nodes[0].host.transfer_leadership(
         host_cluster.ROOT, leader.vm.vm_id, host_cluster.default_deadline()
     )
     await cluster.wait_until(lambda: cluster.leader() is leader, 1)
     with pytest.raises(engine.NoSuchVoterError):
-        await cluster.nodes[0].host.transfer(
+        await cluster.nodes[0].host.transfer_leadership(
             host_cluster.ROOT, "nobody", host_cluster.default_deadline()
         )
 
--- a/laburnumsill/consensus/tests/test_host_group.py
+++ b/laburnumsill/consensus/tests/test_host_group.py
@@ -27,7 +27,9 @@
 
     with_disk = True
     log_bytes = 0
-    stored = types.Stored("r-1", types.HardState(), None, (), with_disk=True)
+    stored = types.StoredState(
+        "r-1", types.HardState(), None, (), with_disk=True
+    )
 
     def __init__(self) -> None:
         self.changes: list[store.Change] = []
--- a/laburnumsill/consensus/tests/test_store.py
+++ b/laburnumsill/consensus/tests/test_store.py
@@ -59,7 +59,7 @@
     disk_store.commit([store.Change(hard_state=state, entries=entries(1, 5))])
     append(disk_store, entries(4, 6, term=2))
     reopened = reopen(disk_store, folder)
-    assert reopened.stored == types.Stored(
+    assert reopened.stored == types.StoredState(
         disk_store.stored.incarnation,
         state,
         None,
--- a/laburnumsill/consensus/tests/test_store_machine.py
+++ b/laburnumsill/consensus/tests/test_store_machine.py
@@ -50,7 +50,7 @@
         super().__init__()
         self.resources = contextlib.ExitStack()
         self.replica_store = None
-        self.durable = types.Stored("", types.HardState(), None, ())
+        self.durable = types.StoredState("", types.HardState(), None, ())
         self.last_index = 0
         self.term = 1
         self.refused = None
--- a/laburnumsill/consensus/types.py
+++ b/laburnumsill/consensus/types.py
@@ -159,8 +159,8 @@
 
     Attributes:
         hard_state: New term or vote to sync, or None.
-        install: Complete snapshot to store and load, or None.
-        append: Entries to append; an entry at or below the last stored index
+        snapshot: Complete snapshot to store and load, or None.
+        entries: Entries to append; an entry at or below the last stored index
             replaces the entry there and all later ones.
         messages: Messages to send after the fields above are synced.
         committed: Entries to apply, in order.
@@ -169,8 +169,8 @@
     """
 
     hard_state: HardState | None = None
-    install: Snapshot | None = None
-    append: tuple[Entry, ...] = ()
+    snapshot: Snapshot | None = None
+    entries: tuple[Entry, ...] = ()
     messages: tuple[Message, ...] = ()
     committed: tuple[Entry, ...] = ()
     reads: tuple[ConfirmedRead, ...] = ()
@@ -178,7 +178,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stored:
+class StoredState:
     """Stored state of a replica when its store is opened.
 
     Attributes:
--- a/laburnumsill/daemon/assembly.py
+++ b/laburnumsill/daemon/assembly.py
@@ -234,7 +234,7 @@
     async def transfer(self, group: str, vm: str | None) -> None:
         """Hands a group's lead over, see `api.groups`."""
         deadline = self._clock.monotonic() + TRANSFER_TIMEOUT_S
-        await self._host.transfer(group, vm, deadline)
+        await self._host.transfer_leadership(group, vm, deadline)
 
     async def replace(self, group: str, old: str, new: str) -> None:
         """Replaces a voter of a group, see `api.groups`."""
