--- a/bench/failover.py
+++ b/bench/failover.py
@@ -30,7 +30,7 @@
 from bench import sync as sync_bench
 from laburnumsill.consensus import engine as engines
 from laburnumsill.consensus import group as groups
-from laburnumsill.consensus import group_ticks
+from laburnumsill.consensus import tick_alignment
 from laburnumsill.consensus import types
 from laburnumsill.daemon import core_role
 
@@ -154,7 +154,9 @@
     def _tick_later(self, vm: str) -> None:
         engine = self.engines[vm]
         leads = engine.role == "leader"
-        when = group_ticks.due(engine.next_tick(), self._period_s, leads)
+        when = tick_alignment.aligned_tick_at(
+            engine.next_tick(), self._period_s, leads
+        )
         when = max(when, self.now + 1e-4)
         self._ticks[vm] += 1  # the one before is over
         self.at(when, functools.partial(self._tick, vm, self._ticks[vm]))
@@ -164,7 +166,7 @@
             return
         engine = self.engines[vm]
         leads = engine.role == "leader"
-        moment = group_ticks.moment(
+        moment = tick_alignment.aligned_time(
             self.now, engine.next_tick(), self._period_s, leads
         )
         engine.tick(moment)
--- a/bench/state_node.py
+++ b/bench/state_node.py
@@ -118,7 +118,9 @@
             pathlib.Path(folder) / self._me.vm_id if folder else None,
             self._clock,
             measured,
-            first={f"group{n}": list(addresses) for n in range(groups)},
+            initial_voters={
+                f"group{n}": list(addresses) for n in range(groups)
+            },
         )
         self._groups = groups
 
--- a/bench/voters_under_cuts.py
+++ b/bench/voters_under_cuts.py
@@ -29,7 +29,7 @@
         for n in range(VMS)
     ]
     home = {vm.vm_id: region_of[vm.domain] for vm in vms}
-    groups = topology.first_groups(vms)
+    groups = topology.initial_voters(vms)
     root = [home[vm] for vm in groups.pop("root")]
     across = 0
     exposed = 0
--- a/laburnumsill/consensus/group.py
+++ b/laburnumsill/consensus/group.py
@@ -17,10 +17,10 @@
 from laburnumsill.consensus import engine as engines
 from laburnumsill.consensus import group_apply
 from laburnumsill.consensus import group_leadership
-from laburnumsill.consensus import group_ticks
 from laburnumsill.consensus import group_waiters
 from laburnumsill.consensus import held_messages
 from laburnumsill.consensus import store
+from laburnumsill.consensus import tick_alignment
 from laburnumsill.consensus import types
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import codec
@@ -168,7 +168,7 @@
     @property
     def next_tick_at(self) -> float:
         """When `tick` has to be called next, in monotonic seconds."""
-        return group_ticks.due(
+        return tick_alignment.aligned_tick_at(
             self._engine.next_tick(), self._options.heartbeat_s, self.leads
         )
 
@@ -176,7 +176,7 @@
         """Advances the clock of the engine."""
         if self._is_bootstrapping:
             return
-        tick_time = group_ticks.moment(
+        tick_time = tick_alignment.aligned_time(
             now, self._engine.next_tick(), self._options.heartbeat_s, self.leads
         )
         self._engine.tick(tick_time)
--- a/laburnumsill/consensus/host.py
+++ b/laburnumsill/consensus/host.py
@@ -58,8 +58,8 @@
         metrics: The registry of the metrics.
         options: The settings of the engine, the same on all VMs.
         limits: The limits after which a snapshot is taken.
-        first: The initial voters by group, the same on all VMs;
-            `topology.first_groups` by default.
+        initial_voters: The initial voters by group, the same on all VMs;
+            `topology.initial_voters` by default.
         choice: Chooses the voters if no settings name them.
     """
 
@@ -74,7 +74,7 @@
         metrics: metrics_module.Metrics,
         options: engines.Options = DEFAULT_OPTIONS,
         limits: SnapshotLimits = DEFAULT_LIMITS,
-        first: abc.Mapping[str, abc.Sequence[str]] | None = None,
+        initial_voters: abc.Mapping[str, abc.Sequence[str]] | None = None,
         choice: voter_choice.VoterChoice | None = None,
     ) -> None:
         self._local_vm = local_vm
@@ -93,7 +93,9 @@
         )
         self._membership_manager = membership_manager.MembershipManager(
             local_vm.vm_id,
-            topology.first_groups(vms) if first is None else first,
+            topology.initial_voters(vms)
+            if initial_voters is None
+            else initial_voters,
             frozenset(vm.vm_id for vm in vms if vm.has_disk),
             network,
             clock,
@@ -209,7 +211,7 @@
             for _, hosted in sorted(self._replicas.hosted.items())
         ]
 
-    def set_make_up(
+    def set_desired_voters(
         self, desired_voters: abc.Mapping[str, abc.Sequence[str]]
     ) -> None:
         """Sets the desired voters by group, the same on all VMs.
@@ -217,7 +219,7 @@
         The leaders change the membership one replica at a time. This VM opens
         the replicas assigned to it and retires those removed from their groups.
         """
-        self._membership_manager.set_make_up(desired_voters)
+        self._membership_manager.set_desired_voters(desired_voters)
 
     async def transfer_leadership(
         self, group: str, vm: str | None, deadline: float
@@ -243,7 +245,7 @@
         )
         await self._forwarder.forward(request)
 
-    async def hand_over(self) -> None:
+    async def transfer_leaderships(self) -> None:
         """Transfers the leadership of all groups led here, for a shutdown."""
         timeout_s = 2 * self._options.election_timeout_s
         deadline = self._clock.monotonic() + timeout_s
--- a/laburnumsill/consensus/membership_manager.py
+++ b/laburnumsill/consensus/membership_manager.py
@@ -44,7 +44,7 @@
 
     Args:
         local_vm: The id of this VM.
-        first: The initial voters by group.
+        initial_voters: The initial voters by group.
         disks: The VMs that have a disk.
         peers: The connections to the other VMs.
         clock: The clock of this process.
@@ -94,7 +94,7 @@
         """
         return self._reported_leaders.get(name)
 
-    def set_make_up(
+    def set_desired_voters(
         self, desired_voters: abc.Mapping[str, abc.Sequence[str]]
     ) -> None:
         """Replaces the desired voters by group."""
@@ -238,8 +238,9 @@
         """Returns the VMs that should vote, as far as this VM knows.
 
         A VM that has just started knows only the initial voters. If the
-        membership has changed since, it stays unchanged until `set_make_up`
-        is called; otherwise a restart would revert the changes.
+        membership has changed since, it stays unchanged until
+        `set_desired_voters` is called; otherwise a restart would revert the
+        changes.
         """
         if self._choice is not None:
             return self._choice.desired_voters(self._voter_view(group))
--- a/laburnumsill/consensus/remote.py
+++ b/laburnumsill/consensus/remote_groups.py
@@ -12,7 +12,7 @@
 from laburnumsill.core import errors
 from laburnumsill.core import replication
 
-ATTEMPT_S = 0.3
+MAX_CALL_TIMEOUT_S = 0.3
 """Upper limit of the timeout of a call to one VM, in seconds, after which
 another VM is called. A commit takes 10 to 20 ms, or a few hundred milliseconds
 on a slow disk."""
@@ -25,7 +25,7 @@
         local_vm: The id of this VM.
         peers: The connections to the other VMs.
         clock: The clock of this process.
-        hosts: Returns the VMs that may host replicas.
+        replica_vms: Returns the VMs that may host replicas.
     """
 
     def __init__(
@@ -33,12 +33,17 @@
         local_vm: str,
         peers: replication.Peers,
         clock: clocks.Clock,
-        hosts: abc.Callable[[], abc.Sequence[str]],
+        replica_vms: abc.Callable[[], abc.Sequence[str]],
     ) -> None:
         self._clock = clock
-        self._hosts = hosts
+        self._get_replica_vms = replica_vms
         self._forwarder = leader_forwarder.Forwarder(
-            local_vm, peers, clock, lambda _: None, self._replica_vms, ATTEMPT_S
+            local_vm,
+            peers,
+            clock,
+            lambda _: None,
+            self._replica_vms,
+            MAX_CALL_TIMEOUT_S,
         )
 
     async def propose(
@@ -84,10 +89,10 @@
         )
 
     def _replica_vms(self, group: str) -> abc.Sequence[str]:
-        hosts = self._hosts()
-        if not hosts:
+        replica_vms = self._get_replica_vms()
+        if not replica_vms:
             raise errors.NoQuorumError(f"no VM of group {group!r} is known")
-        return hosts
+        return replica_vms
 
 
 async def _no_local_replica(group: str, deadline: float) -> forwarded.Outcome:
--- a/laburnumsill/consensus/tests/managed_group.py
+++ b/laburnumsill/consensus/tests/managed_group.py
@@ -126,7 +126,7 @@
             if self._engines.get(vm) is not host.engine:
                 self._engines[vm] = host.engine
                 self._managers[vm] = self._new_manager(vm)
-            self._managers[vm].set_make_up({GROUP: tuple(self.hosts)})
+            self._managers[vm].set_desired_voters({GROUP: tuple(self.hosts)})
         for vm in self.random.sample(sorted(running), len(running)):
             hosted = _HostedReplica(running[vm], self.now)
             if self._managers[vm].needs_discovery(hosted):
--- a/laburnumsill/consensus/tests/test_engine_rules.py
+++ b/laburnumsill/consensus/tests/test_engine_rules.py
@@ -7,7 +7,7 @@
 
 from laburnumsill.consensus import election_timeout
 from laburnumsill.consensus import engine
-from laburnumsill.consensus import group_ticks
+from laburnumsill.consensus import tick_alignment
 from laburnumsill.consensus import types
 from laburnumsill.consensus.tests import simulated_group
 from laburnumsill.core import codec
@@ -358,11 +358,13 @@
     timeout = election_timeout.ElectionTimeout(options)
     now, read_at = 10.0, 10.25
     while now < 40.0:
-        wanted = leader.next_tick()
-        tick_at = group_ticks.due(wanted, 0.1, leads=True)
+        requested_at = leader.next_tick()
+        tick_at = tick_alignment.aligned_tick_at(requested_at, 0.1, leads=True)
         now = max(now, min(tick_at, read_at))
         if now >= tick_at:
-            leader.tick(group_ticks.moment(now, wanted, 0.1, leads=True))
+            leader.tick(
+                tick_alignment.aligned_time(now, requested_at, 0.1, leads=True)
+            )
         else:
             leader.read(now)
             read_at += source.expovariate(1.5 / 0.1)
--- a/laburnumsill/consensus/tests/test_host.py
+++ b/laburnumsill/consensus/tests/test_host.py
@@ -131,7 +131,7 @@
     await cluster.wait_until_converged()
     leader = cluster.leader()
     term = leader.status().term
-    await leader.host.hand_over()
+    await leader.host.transfer_leaderships()
     await cluster.wait_until(lambda: cluster.leader() not in (None, leader), 1)
     assert cluster.leader().status().term == term + 1
     await cluster.nodes[0].host.transfer_leadership(
--- a/laburnumsill/consensus/tests/test_host_repair.py
+++ b/laburnumsill/consensus/tests/test_host_repair.py
@@ -120,7 +120,7 @@
     desired_voters = {host_cluster.ROOT: [*voters[:2], spare.vm.vm_id]}
     for node in cluster.nodes:
         if node is not lost:
-            node.host.set_make_up(desired_voters)
+            node.host.set_desired_voters(desired_voters)
     await cluster.wait_until(
         lambda: (
             (leader := cluster.leader()) is not None
@@ -146,7 +146,7 @@
     remaining = [vm for vm in voters if vm != replaced.vm.vm_id]
     desired_voters = {host_cluster.ROOT: [*remaining, spare.vm.vm_id]}
     for node in cluster.nodes:
-        node.host.set_make_up(desired_voters)
+        node.host.set_desired_voters(desired_voters)
     await cluster.wait_until(
         lambda: replaced.host.local(host_cluster.ROOT) is None, within=15
     )
@@ -162,7 +162,7 @@
     spare = next(n for n in cluster.nodes if n.vm.vm_id not in voters)
     wanted = {*voters[:2], spare.vm.vm_id}
     for node in cluster.nodes:
-        node.host.set_make_up({host_cluster.ROOT: sorted(wanted)})
+        node.host.set_desired_voters({host_cluster.ROOT: sorted(wanted)})
 
     def repaired():
         leader = cluster.leader()
--- a/laburnumsill/consensus/tests/test_leader_tracker.py
+++ b/laburnumsill/consensus/tests/test_leader_tracker.py
@@ -7,7 +7,7 @@
 from laburnumsill.consensus import engine as engines
 from laburnumsill.consensus import forwarded
 from laburnumsill.consensus import leader_tracker
-from laburnumsill.consensus import remote
+from laburnumsill.consensus import remote_groups
 from laburnumsill.core import errors
 from laburnumsill.core import replication
 from laburnumsill.core import trio_clock
@@ -58,12 +58,14 @@
         return frozenset("abc")
 
 
-def remote_groups(peers: CorePeers) -> remote.RemoteGroups:
+def new_groups(peers: CorePeers) -> remote_groups.RemoteGroups:
     clock = trio_clock.TrioClock(1_700_000_000.0)
-    return remote.RemoteGroups("front", peers, clock, lambda: ["a", "b", "c"])
+    return remote_groups.RemoteGroups(
+        "front", peers, clock, lambda: ["a", "b", "c"]
+    )
 
 
-async def propose(groups: remote.RemoteGroups) -> float:
+async def propose(groups: remote_groups.RemoteGroups) -> float:
     """Proposes a command with a deadline of 3 s; returns the time taken."""
     began = trio.current_time()
     await groups.propose("g", COMMAND, began + 3.0)
@@ -97,7 +99,7 @@
 ):
     """Urgent jobs arrive just after the leader has frozen."""
     peers = CorePeers()
-    groups = remote_groups(peers)
+    groups = new_groups(peers)
     await lose_leader(peers, groups, 0.5)
     took_s = []
 
@@ -116,7 +118,7 @@
     autojump_clock,
 ):
     peers = CorePeers()
-    groups = remote_groups(peers)
+    groups = new_groups(peers)
     await lose_leader(peers, groups, 60.0)
     with pytest.raises(errors.LaburnumsillError):
         await propose(groups)
@@ -129,7 +131,7 @@
 
 async def test_leader_that_missed_one_call_is_called_again(autojump_clock):
     peers = CorePeers()
-    groups = remote_groups(peers)
+    groups = new_groups(peers)
     for _ in range(10):
         await propose(groups)
     peers.silent = {"a"}
@@ -168,7 +170,7 @@
     deadline; it is idempotent.
     """
     peers = FreezingPeers()
-    groups = remote_groups(peers)
+    groups = new_groups(peers)
     for _ in range(10):
         await propose(groups)
     peers.freezes = True
@@ -191,7 +193,7 @@
     refused and may retry at once.
     """
     peers = FreezingPeers()
-    groups = remote_groups(peers)
+    groups = new_groups(peers)
     for _ in range(10):
         await propose(groups)
     peers.leader, peers.silent, peers.named = "", {"a"}, None
@@ -207,7 +209,7 @@
     autojump_clock,
 ):
     peers = CorePeers()
-    groups = remote_groups(peers)
+    groups = new_groups(peers)
     for _ in range(10):
         await propose(groups)
     peers.leader = ""
@@ -238,7 +240,7 @@
     An attempt shortly before the deadline gets no answer; the caller must not
     be told that the command may have been executed.
     """
-    groups = remote_groups(SlowPeers())
+    groups = new_groups(SlowPeers())
     with pytest.raises(errors.NoQuorumError):
         await groups.propose("g", COMMAND, trio.current_time() + within_s)
 
--- a/laburnumsill/consensus/group_ticks.py
+++ b/laburnumsill/consensus/tick_alignment.py
@@ -12,26 +12,30 @@
 seconds."""
 
 
-def due(wanted: float, period: float, leads: bool) -> float:
+def aligned_tick_at(requested_at: float, period: float, leads: bool) -> float:
     """Returns when to tick an engine, in monotonic seconds.
 
     Args:
-        wanted: The time requested by the engine, in monotonic seconds.
+        requested_at: The time requested by the engine, in monotonic seconds.
         period: The heartbeat period in seconds.
         leads: Whether the engine leads.
 
     Examples:
-        >>> due(10.25, 0.25, True), due(10.3, 0.25, True)
-        (10.25, 10.5)
-        >>> due(10.3, 0.25, False)
+        >>> aligned_tick_at(10.25, 0.25, True)
+        10.25
+        >>> aligned_tick_at(10.3, 0.25, True)
+        10.5
+        >>> aligned_tick_at(10.3, 0.25, False)
         10.3
     """
     if not leads:
-        return wanted
-    return math.ceil((wanted - TOLERANCE_S) / period) * period
+        return requested_at
+    return math.ceil((requested_at - TOLERANCE_S) / period) * period
 
 
-def moment(now: float, wanted: float, period: float, leads: bool) -> float:
+def aligned_time(
+    now: float, requested_at: float, period: float, leads: bool
+) -> float:
     """Returns the time to pass to the engine at a tick.
 
     A leader that is ticked slightly late is passed the aligned time, so that
@@ -40,17 +44,19 @@
 
     Args:
         now: The monotonic time.
-        wanted: The time requested by the engine, in monotonic seconds.
+        requested_at: The time requested by the engine, in monotonic seconds.
         period: The heartbeat period in seconds.
         leads: Whether the engine leads.
 
     Examples:
-        >>> moment(10.26, 10.25, 0.25, True), moment(10.4, 10.25, 0.25, True)
-        (10.25, 10.4)
+        >>> aligned_time(10.26, 10.25, 0.25, True)
+        10.25
+        >>> aligned_time(10.4, 10.25, 0.25, True)
+        10.4
     """
     if not leads:
         return now
     aligned = math.floor((now + TOLERANCE_S) / period) * period
     if now - aligned > period / 2:
         return now
-    return max(aligned, min(wanted, aligned + TOLERANCE_S))
+    return max(aligned, min(requested_at, aligned + TOLERANCE_S))
--- a/laburnumsill/core/tests/test_topology.py
+++ b/laburnumsill/core/tests/test_topology.py
@@ -41,7 +41,7 @@
 @hypothesis.given(sites())
 def test_every_group_has_a_disk(vms):
     with_disk = {vm.vm_id for vm in vms if vm.has_disk}
-    for voters in topology.first_groups(vms).values():
+    for voters in topology.initial_voters(vms).values():
         assert with_disk & set(voters)
 
 
--- a/laburnumsill/core/topology.py
+++ b/laburnumsill/core/topology.py
@@ -79,14 +79,14 @@
     return chosen if len(chosen) % 2 else chosen[:-1]
 
 
-def first_groups(vms: abc.Sequence[Vm]) -> dict[str, list[str]]:
+def initial_voters(vms: abc.Sequence[Vm]) -> dict[str, list[str]]:
     """Returns the first voters of every group, by group name.
 
     Examples:
         >>> vms = [Vm(f"vm{n}", f"d{n % 3}", "", "", n < 3) for n in range(8)]
-        >>> first_groups(vms)["root"]
+        >>> initial_voters(vms)["root"]
         ['vm0', 'vm1', 'vm2']
-        >>> first_groups(vms)["domain.d2"]
+        >>> initial_voters(vms)["domain.d2"]
         ['vm2', 'vm5', 'vm0']
     """
     groups = {str(ids.ROOT_GROUP): root_voters(vms)}
--- a/laburnumsill/daemon/assembly.py
+++ b/laburnumsill/daemon/assembly.py
@@ -77,7 +77,7 @@
             self._me,
             self._host,
             self._network,
-            self._host.set_make_up,
+            self._host.set_desired_voters,
         )
         self._replacement = replacement.Replacement(
             loaded.vms,
@@ -255,7 +255,7 @@
         """
         logs.event("shutdown-started")
         await trio.sleep(READINESS_NOTICE_S)
-        await self._host.hand_over()
+        await self._host.transfer_leaderships()
         await self._router.drain(self._clock.monotonic() + DRAIN_TIMEOUT_S)
         self._stop_server.set()
         with trio.move_on_after(SERVER_GRACE_S):
--- a/laburnumsill/daemon/core_role.py
+++ b/laburnumsill/daemon/core_role.py
@@ -148,7 +148,7 @@
 
     async def _shut_down(self) -> None:
         with trio.move_on_after(HAND_OVER_WITHIN_S):
-            await self._host.hand_over()
+            await self._host.transfer_leaderships()
         await trio.sleep(NOTICE_S)
 
     def _make_machine(self, group: str) -> replication.StateMachine:
@@ -167,7 +167,7 @@
                 *self._settings.seed_vms,
             )
         )
-        self._host.set_make_up({role.SITE_GROUP: tuple(vms)})
+        self._host.set_desired_voters({role.SITE_GROUP: tuple(vms)})
 
     async def _keep_make_up(self) -> None:
         while True:
--- a/laburnumsill/daemon/entry_role.py
+++ b/laburnumsill/daemon/entry_role.py
@@ -6,7 +6,7 @@
 
 from laburnumsill.batch import gateway
 from laburnumsill.config import site
-from laburnumsill.consensus import remote
+from laburnumsill.consensus import remote_groups
 from laburnumsill.core import topology
 from laburnumsill.daemon import configuration_lease
 from laburnumsill.daemon import configuration_sharing
@@ -29,7 +29,7 @@
         self, path: pathlib.Path, settings: role_settings.RoleSettings
     ) -> None:
         super().__init__(path, settings, on_demand=True)
-        self._groups = remote.RemoteGroups(
+        self._groups = remote_groups.RemoteGroups(
             self._vm.vm_id,
             self._network,
             self._clock,
--- a/laburnumsill/daemon/make_up_sync.py
+++ b/laburnumsill/daemon/make_up_sync.py
@@ -39,7 +39,7 @@
         peers: replication.Peers,
         set_make_up: abc.Callable[[abc.Mapping[str, abc.Sequence[str]]], None],
     ) -> None:
-        self._first = topology.first_groups(vms)
+        self._first = topology.initial_voters(vms)
         self._others = [vm.vm_id for vm in vms if vm.vm_id != me.vm_id]
         self._groups = groups
         self._peers = peers
--- a/laburnumsill/daemon/tests/test_configuration_lease.py
+++ b/laburnumsill/daemon/tests/test_configuration_lease.py
@@ -4,7 +4,7 @@
 import trio.testing
 
 from laburnumsill.config import site
-from laburnumsill.consensus import remote
+from laburnumsill.consensus import remote_groups
 from laburnumsill.core import codec
 from laburnumsill.core import errors
 from laburnumsill.core import replication
@@ -38,8 +38,8 @@
         answer = await super().query(group, query, deadline)
         if self.has_slow_link:
             transfer_s = len(codec.encode(answer)) / LINK_BYTES_PER_S
-            await trio.sleep(min(transfer_s, remote.ATTEMPT_S))
-            if transfer_s > remote.ATTEMPT_S:
+            await trio.sleep(min(transfer_s, remote_groups.MAX_CALL_TIMEOUT_S))
+            if transfer_s > remote_groups.MAX_CALL_TIMEOUT_S:
                 raise errors.NoQuorumError("the answer took too long")
         return answer
 
--- a/laburnumsill/daemon/tests/test_role_imports.py
+++ b/laburnumsill/daemon/tests/test_role_imports.py
@@ -32,7 +32,7 @@
         "forwarded",
         "leader_forwarder",
         "leader_tracker",
-        "remote",
+        "remote_groups",
     },
     "laburnumsill.state": {"highest_version"},
 }
--- a/laburnumsill/state/make_up.py
+++ b/laburnumsill/state/make_up.py
@@ -1,7 +1,7 @@
 """The make-up of the groups: which VMs are to hold each group's replicas.
 
 The first make-up follows from the VMs in the settings, see
-`core.topology.first_groups`. The root group records what has changed since.
+`core.topology.initial_voters`. The root group records what has changed since.
 Each change names the voters it replaces, so that of two racing changes one
 is refused.
 """
