--- a/laburnumsill/batch/headroom.py
+++ b/laburnumsill/batch/headroom.py
@@ -10,7 +10,7 @@
 from laburnumsill.batch import ledger as ledgers
 from laburnumsill.batch import model
 from laburnumsill.batch import packing
-from laburnumsill.core import lately
+from laburnumsill.core import sliding_maximum
 
 WINDOW_S = 8.0
 """Length of the sliding window over urgent demand, in seconds: three times the
@@ -33,7 +33,7 @@
     """
 
     def __init__(self) -> None:
-        self._recent = lately.LargestLately(WINDOW_S)
+        self._recent = sliding_maximum.SlidingMaximum(WINDOW_S)
 
     def update(self, demand: int, now: float) -> int:
         """Records the demand and returns how many accelerators to leave free.
--- a/laburnumsill/batch/leading.py
+++ b/laburnumsill/batch/leading.py
@@ -28,9 +28,9 @@
 from laburnumsill.batch import units
 from laburnumsill.batch import worker_client
 from laburnumsill.batch import worker_health
+from laburnumsill.core import adaptive_timeout
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import errors
-from laburnumsill.core import learnt_wait
 from laburnumsill.core import logs
 from laburnumsill.core import metrics as metrics_module
 from laburnumsill.core import replication
@@ -147,10 +147,10 @@
         self.fence = fence
         self.longest_lease_ms = context.bounds.longest_lease_ms
         self.health = worker_health.WorkerHealth()
-        self.order_timeout = learnt_wait.LearntWait(
+        self.order_timeout = adaptive_timeout.AdaptiveTimeout(
             orders.MIN_ORDER_TIMEOUT_S,
             orders.MAX_ORDER_TIMEOUT_S,
-            learnt_wait.ANSWERS_BORNE,
+            adaptive_timeout.ANSWER_TIME_MULTIPLE,
         )
         self._context = context
         self._policy = context.policy
--- a/laburnumsill/batch/term.py
+++ b/laburnumsill/batch/term.py
@@ -6,8 +6,8 @@
 from laburnumsill.batch import model
 from laburnumsill.batch import worker_client
 from laburnumsill.batch import worker_health
+from laburnumsill.core import adaptive_timeout
 from laburnumsill.core import clock as clocks
-from laburnumsill.core import learnt_wait
 from laburnumsill.core import logs
 
 
@@ -30,7 +30,7 @@
     fence: int
     health: worker_health.WorkerHealth
     longest_lease_ms: int
-    order_timeout: learnt_wait.LearntWait
+    order_timeout: adaptive_timeout.AdaptiveTimeout
 
     @abc.abstractmethod
     async def commit(self, command: object) -> object:
--- a/laburnumsill/batch/tests/test_session.py
+++ b/laburnumsill/batch/tests/test_session.py
@@ -15,8 +15,8 @@
 from laburnumsill.batch import term as terms
 from laburnumsill.batch import worker_client
 from laburnumsill.batch import worker_health
+from laburnumsill.core import adaptive_timeout
 from laburnumsill.core import errors
-from laburnumsill.core import learnt_wait
 from laburnumsill.core import trio_clock
 
 RUN = model.RunId(model.TaskId("j", 0, 0, 0), 1)
@@ -75,7 +75,7 @@
         self.fence = 7
         self.health = worker_health.WorkerHealth()
         self.longest_lease_ms = 10_000
-        self.order_timeout = learnt_wait.LearntWait(0.1, 0.5, 4)
+        self.order_timeout = adaptive_timeout.AdaptiveTimeout(0.1, 0.5, 4)
         self.probed_domains = []
         self.verified_workers = []
         self.committed = []
--- a/laburnumsill/batch/worker_state.py
+++ b/laburnumsill/batch/worker_state.py
@@ -157,7 +157,7 @@
         """
         now = self.term.clock.monotonic()
         if asked_at is not None:
-            self.term.order_timeout.note(now, now - asked_at)
+            self.term.order_timeout.record(now, now - asked_at)
         if self.unreachable_since is not None:
             logs.event("worker-regained", worker=self.worker_id)
             self.reachable_again.set()
--- a/laburnumsill/consensus/election_timeout.py
+++ b/laburnumsill/consensus/election_timeout.py
@@ -17,7 +17,7 @@
 """
 
 from laburnumsill.consensus import options as options_module
-from laburnumsill.core import learnt_wait
+from laburnumsill.core import adaptive_timeout
 
 GAP_MULTIPLE = 3
 """Election timeout as a multiple of the longest recent gap; with 3, two
@@ -46,7 +46,7 @@
         if not options.adaptive_election_timeout:
             shortest_s = longest_s
         self._last_message_at: float | None = None
-        self._timeout = learnt_wait.LearntWait(
+        self._timeout = adaptive_timeout.AdaptiveTimeout(
             shortest_s, longest_s, GAP_MULTIPLE
         )
 
@@ -58,7 +58,7 @@
     def on_leader_message(self, now: float) -> None:
         """Records a message of the leader at a monotonic time."""
         if self._last_message_at is not None:
-            self._timeout.note(now, now - self._last_message_at)
+            self._timeout.record(now, now - self._last_message_at)
         self._last_message_at = now
 
     def reset(self) -> None:
--- a/laburnumsill/consensus/leader_tracker.py
+++ b/laburnumsill/consensus/leader_tracker.py
@@ -10,7 +10,7 @@
 
 import math
 
-from laburnumsill.core import learnt_wait
+from laburnumsill.core import adaptive_timeout
 
 MIN_CALL_TIMEOUT_S = 0.1
 """Minimum timeout of a call to one VM: ten times the duration of a commit on an
@@ -46,10 +46,10 @@
 
     def __init__(self, max_call_timeout_s: float) -> None:
         self._no_leader_since: float | None = None
-        self._call_timeout = learnt_wait.LearntWait(
+        self._call_timeout = adaptive_timeout.AdaptiveTimeout(
             MIN_CALL_TIMEOUT_S,
             max_call_timeout_s,
-            learnt_wait.ANSWERS_BORNE,
+            adaptive_timeout.ANSWER_TIME_MULTIPLE,
         )
         self._unanswered_at: dict[str, float] = {}
 
@@ -77,7 +77,7 @@
         """Records that a VM answered as the leader."""
         self._no_leader_since = None
         self.on_answer(vm)
-        self._call_timeout.note(now, now - asked_at)
+        self._call_timeout.record(now, now - asked_at)
 
     def on_answer(self, vm: str) -> None:
         """Records that a VM answered, whether or not it leads."""
--- a/laburnumsill/consensus/tests/test_election_timeout.py
+++ b/laburnumsill/consensus/tests/test_election_timeout.py
@@ -6,7 +6,7 @@
 
 from laburnumsill.consensus import election_timeout
 from laburnumsill.consensus import options as options_module
-from laburnumsill.core import learnt_wait
+from laburnumsill.core import adaptive_timeout
 
 OPTIONS = options_module.Options(0.8, 0.1)
 
@@ -44,7 +44,7 @@
 
 
 def test_old_delays_are_forgotten():
-    beats = int(learnt_wait.REMEMBERED_S / 0.1) + 2
+    beats = int(adaptive_timeout.WINDOW_S / 0.1) + 2
     assert timeout_after(*[0.1] * 9, 0.25, *[0.1] * beats).seconds == (
         pytest.approx(0.3)
     )
