--- a/bench/configuration_node.py
+++ b/bench/configuration_node.py
@@ -192,7 +192,8 @@
             "vm": self._me.vm_id,
             "domain": self._me.domain,
             "leads_root": self._host.leads(ids.ROOT_GROUP),
-            "replica": self._host.local(ids.ROOT_GROUP) is not None,
+            "replica": self._host.local_state_machine(ids.ROOT_GROUP)
+            is not None,
             "disk": self._me.has_disk,
             "sent": traffic.sent_bytes,
             "received": traffic.received_bytes,
@@ -206,7 +207,7 @@
         self._in_force[versioned.version] = time.time()
 
     def _observe(self) -> None:
-        machine = self._host.local(ids.ROOT_GROUP)
+        machine = self._host.local_state_machine(ids.ROOT_GROUP)
         if machine is not None and machine is not self._observed:
             self._observed = machine
             machine.observe(
--- a/laburnumsill/batch/intake.py
+++ b/laburnumsill/batch/intake.py
@@ -237,7 +237,7 @@
         Raises:
             errors.NoQuorumError: This VM does not lead.
         """
-        machine = self._groups.local(self._group)
+        machine = self._groups.local_state_machine(self._group)
         if machine is None or not self._groups.leads(self._group):
             raise errors.NoQuorumError(f"{self._vm_id} does not lead")
         ledger: ledgers.BatchLedger = machine.component(
--- a/laburnumsill/batch/scheduler.py
+++ b/laburnumsill/batch/scheduler.py
@@ -106,7 +106,7 @@
         except errors.LaburnumsillError as error:
             logs.event("lead-not-confirmed", "WARNING", reason=error.slug)
             return None
-        machine = self._groups.local(self._group)
+        machine = self._groups.local_state_machine(self._group)
         if machine is None or not self._groups.leads(self._group):
             return None
         ledger: ledgers.BatchLedger = machine.component(
--- a/laburnumsill/consensus/host.py
+++ b/laburnumsill/consensus/host.py
@@ -196,7 +196,9 @@
         replicas = membership.voters + membership.learners
         return tuple(dict.fromkeys(replica.vm for replica in replicas))
 
-    def local(self, group: str) -> replication.StateMachine | None:
+    def local_state_machine(
+        self, group: str
+    ) -> replication.StateMachine | None:
         """Returns the state machine of this VM's replica, or None without one.
 
         It may lack committed commands.
@@ -390,7 +392,7 @@
         outcome = await self._propose_locally(
             request.group, request.command, deadline
         )
-        return leader_forwarder.answer_of(outcome)
+        return leader_forwarder.encode_outcome(outcome)
 
     async def _on_query(
         self, request: forwarded.ForwardedQuery
@@ -398,7 +400,7 @@
         deadline = self._clock.monotonic_deadline(request.deadline)
         query = codec.decode(request.query)
         outcome = await self._query_locally(request.group, query, deadline)
-        return leader_forwarder.answer_of(outcome)
+        return leader_forwarder.encode_outcome(outcome)
 
     async def _on_transfer(
         self, request: host_messages.TransferOrder
@@ -407,7 +409,7 @@
         outcome = await self._transfer_locally(
             request.group, request.vm, deadline
         )
-        return leader_forwarder.answer_of(outcome)
+        return leader_forwarder.encode_outcome(outcome)
 
     async def _on_hello(
         self, hello: host_messages.Hello
--- a/laburnumsill/consensus/leader_forwarder.py
+++ b/laburnumsill/consensus/leader_forwarder.py
@@ -178,7 +178,7 @@
             await self._confirm_leadership(vm, request)
         deadline = self._call_deadline(request)
         answer = await self._peers.call(vm, request.message, deadline)
-        return outcome_of(answer)
+        return decode_answer(answer)
 
     async def _confirm_leadership(
         self, vm: str, request: LeaderRequest
@@ -284,7 +284,7 @@
         return self._leader(group) is None
 
 
-def answer_of(outcome: forwarded.Outcome) -> forwarded.Answer:
+def encode_outcome(outcome: forwarded.Outcome) -> forwarded.Answer:
     """Returns the encoded form of an outcome, for another VM."""
     if outcome.refusal is not None:
         return forwarded.Answer(refusal=outcome.refusal.to_record())
@@ -293,7 +293,7 @@
     return forwarded.Answer(codec.encode(outcome.result))
 
 
-def outcome_of(answer: forwarded.Answer) -> forwarded.Outcome:
+def decode_answer(answer: forwarded.Answer) -> forwarded.Outcome:
     """Returns the outcome decoded from the answer of another VM."""
     if answer.refusal is not None:
         refusal = errors.LaburnumsillError.from_record(answer.refusal)
--- a/laburnumsill/consensus/remote_groups.py
+++ b/laburnumsill/consensus/remote_groups.py
@@ -76,7 +76,7 @@
         """Returns 0, since this VM hosts no replica."""
         return 0
 
-    def local(self, group: str) -> None:
+    def local_state_machine(self, group: str) -> None:
         """Returns None, since this VM hosts no replica."""
         return
 
--- a/laburnumsill/consensus/tests/host_cluster.py
+++ b/laburnumsill/consensus/tests/host_cluster.py
@@ -150,7 +150,7 @@
         return found[group]
 
     def component(self, group: str = ROOT) -> Keys:
-        return self.host.local(group).component("keys")
+        return self.host.local_state_machine(group).component("keys")
 
     def keys(self, group: str = ROOT) -> list[str]:
         return self.component(group).total().keys
--- a/laburnumsill/consensus/tests/simulated_disk.py
+++ b/laburnumsill/consensus/tests/simulated_disk.py
@@ -43,7 +43,7 @@
 
 
 @contextlib.contextmanager
-def simulated() -> abc.Iterator["SimulatedDisk"]:
+def temporary_disk() -> abc.Iterator["SimulatedDisk"]:
     """Yields a simulated disk with an empty root folder, removed afterwards."""
     with (
         tempfile.TemporaryDirectory() as name,
@@ -122,7 +122,7 @@
         """Makes the next sync of a file fail with an I/O error."""
         self._next_sync_fails = True
 
-    def restart(self) -> None:
+    def cancel_kill(self) -> None:
         """Cancels a pending kill, for the next process."""
         self._calls_until_kill = None
 
@@ -137,7 +137,7 @@
 
         The disk stays full if it was full.
         """
-        self.restart()
+        self.cancel_kill()
         calls_until_full, self._calls_until_full = self._calls_until_full, None
         folders = self._folders()
         contents = {
--- a/laburnumsill/consensus/tests/test_disk_and_power_loss.py
+++ b/laburnumsill/consensus/tests/test_disk_and_power_loss.py
@@ -54,7 +54,7 @@
     ("vms", "counted"), [("abc", "a"), ("abcde", "a"), ("abcde", "ab")]
 )
 @pytest.mark.parametrize("seed", range(4))
-def test_a_majority_of_disks_goes_on_without_those_the_membership_counts_on(
+def test_a_majority_of_disks_goes_on_when_the_membership_lacks_disk_marks(
     vms, counted, seed
 ):
     """The membership's `with_disk` names only `counted` of the VMs with disks.
--- a/laburnumsill/consensus/tests/test_disk_full.py
+++ b/laburnumsill/consensus/tests/test_disk_full.py
@@ -188,7 +188,7 @@
 
 
 @pytest.mark.parametrize("count", [1, 3])
-async def test_a_start_with_a_full_disk_waits_for_room(
+async def test_a_start_on_a_full_disk_waits_for_space(
     make_cluster, full_disks, count
 ):
     cluster = make_cluster()
@@ -210,7 +210,8 @@
     full_disks.free_space(*affected)
     await cluster.wait_until(
         lambda: all(
-            node.host.local(host_cluster.ROOT) and node.keys() == keys
+            node.host.local_state_machine(host_cluster.ROOT)
+            and node.keys() == keys
             for node in cluster.nodes
         ),
         RECOVERY_TIMEOUT_S,
@@ -219,7 +220,7 @@
     await check_after_restart(cluster, *keys)
 
 
-async def test_a_first_start_with_full_disks_founds_once_there_is_room(
+async def test_a_first_start_on_full_disks_bootstraps_once_there_is_space(
     make_cluster, full_disks
 ):
     cluster = make_cluster()
@@ -279,7 +280,9 @@
 
     monkeypatch.setattr(os, "rename", refuse)
     await node.host._replicas.retire(host_cluster.ROOT)
-    await cluster.wait_until(lambda: node.host.local(host_cluster.ROOT))
+    await cluster.wait_until(
+        lambda: node.host.local_state_machine(host_cluster.ROOT)
+    )
     assert not node.stopped.is_set()
     monkeypatch.undo()
     await cluster.add(1, "after")
--- a/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
+++ b/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
@@ -128,7 +128,7 @@
 @pytest.mark.parametrize("max_kept_records", [0, 4])
 @pytest.mark.parametrize(("vms", "voter_count"), SITES)
 @pytest.mark.parametrize("seed", range(SEEDS))
-def test_what_was_acknowledged_is_read_after_voters_changed(
+def test_acknowledged_writes_are_read_after_voter_changes(
     vms, voter_count, seed, max_kept_records
 ):
     scenario = Scenario(vms, voter_count, seed)
--- a/laburnumsill/consensus/tests/test_host.py
+++ b/laburnumsill/consensus/tests/test_host.py
@@ -124,7 +124,7 @@
     await cluster.wait_until_converged()
 
 
-async def test_a_shutdown_hands_the_lead_over(make_cluster):
+async def test_a_shutdown_transfers_leadership(make_cluster):
     cluster = make_cluster()
     await cluster.start()
     await cluster.add(0, "k")
@@ -144,7 +144,7 @@
         )
 
 
-async def test_who_leads_has_applied_all_that_was_acknowledged(make_cluster):
+async def test_a_leader_has_applied_all_acknowledged_commands(make_cluster):
     """A restarted replica without a snapshot has an empty state machine.
 
     It must not count as the leader before it has applied its log again.
--- a/laburnumsill/consensus/tests/test_host_group.py
+++ b/laburnumsill/consensus/tests/test_host_group.py
@@ -104,7 +104,7 @@
     assert replica.store.changes[-1].hard_state == types.HardState(2, VM2)
 
 
-def test_an_acknowledgement_waits_and_heartbeats_do_not(replica):
+def test_append_replies_wait_for_a_sync_but_heartbeat_replies_do_not(replica):
     fields = {"term": 1, "index": 2, "log_term": 1}
     entry = command_entry(3, 1, "b")
     assert replica.step(Kind.APPEND, entries=(entry,), **fields) == []
--- a/laburnumsill/consensus/tests/test_host_repair.py
+++ b/laburnumsill/consensus/tests/test_host_repair.py
@@ -39,7 +39,7 @@
     await cluster.wait_until_converged()
 
 
-async def test_a_lost_disk_comes_back_as_another_replica(make_cluster):
+async def test_a_replica_with_a_lost_disk_gets_a_new_incarnation(make_cluster):
     cluster = make_cluster()
     await start_with_keys(cluster, *KEYS)
     for node_index in (0, 1):
@@ -88,7 +88,7 @@
     assert list(node.folder.glob("groups/root.set-aside*"))
 
 
-async def test_who_missed_hundreds_of_entries_gets_a_snapshot(make_cluster):
+async def test_a_replica_far_behind_receives_a_snapshot(make_cluster):
     limits = host.SnapshotLimits(entries=50)
     cluster = make_cluster("DDM", limits)
     await start_with_keys(cluster, "first")
@@ -148,14 +148,15 @@
     for node in cluster.nodes:
         node.host.set_desired_voters(desired_voters)
     await cluster.wait_until(
-        lambda: replaced.host.local(host_cluster.ROOT) is None, within=15
+        lambda: replaced.host.local_state_machine(host_cluster.ROOT) is None,
+        within=15,
     )
     assert await cluster.read_keys(cluster.nodes.index(replaced)) == KEYS
     assert set(cluster.leader().status().voters) == {*remaining, spare.vm.vm_id}
     assert list(replaced.folder.glob("groups/root.set-aside*"))
 
 
-async def test_a_restart_of_all_does_not_take_a_repair_back(make_cluster):
+async def test_a_full_restart_keeps_a_membership_change(make_cluster):
     cluster = make_cluster("DDDD")
     await start_with_keys(cluster, *KEYS)
     voters = cluster.leader().status().voters
--- a/laburnumsill/consensus/tests/test_leader_tracker.py
+++ b/laburnumsill/consensus/tests/test_leader_tracker.py
@@ -245,7 +245,7 @@
         await groups.propose("g", COMMAND, trio.current_time() + within_s)
 
 
-def test_attempt_timeout_follows_slow_answers():
+def test_call_timeout_follows_slow_answers():
     tracker = leader_tracker.LeaderTracker(0.3)
     assert tracker.call_timeout_s == 0.3
     for number in range(20):
--- a/laburnumsill/consensus/tests/test_store.py
+++ b/laburnumsill/consensus/tests/test_store.py
@@ -93,7 +93,7 @@
     assert reopened.stored.entries == ()
 
 
-def test_a_torn_tail_is_cut_at_every_byte(folder):
+def test_a_tail_torn_at_any_byte_is_truncated(folder):
     disk_store = store_disk.DiskStore(folder, GROUP)
     append(disk_store, entries(1, 3))
     synced = last_segment(folder).read_bytes()
--- a/laburnumsill/consensus/tests/test_store_machine.py
+++ b/laburnumsill/consensus/tests/test_store_machine.py
@@ -59,7 +59,7 @@
     @stateful.initialize(seed=strategies.integers(0, 2**16))
     def create_disk(self, seed):
         self.rng = random.Random(seed)
-        disk = simulated_disk.simulated()
+        disk = simulated_disk.temporary_disk()
         self.disk = self.resources.enter_context(disk)
         self.open()
 
@@ -201,7 +201,7 @@
             uncertain: Changes that may be stored, in part or as a whole.
         """
         self.replica_store.close()
-        self.disk.restart()
+        self.disk.cancel_kill()
         self.open(uncertain or self.refused)
 
     def kill_during_open(self, calls):
--- a/laburnumsill/consensus/tests/test_store_power_loss.py
+++ b/laburnumsill/consensus/tests/test_store_power_loss.py
@@ -52,13 +52,13 @@
     with pytest.raises(simulated_disk.ProcessKilled):
         disk_store.commit([change])
     disk_store.close()
-    disk.restart()
+    disk.cancel_kill()
 
 
 def test_entries_read_at_a_restart_survive_a_power_loss():
     change = store.Change(entries=entries(4, 4))
     for seed in SEEDS:
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             disk_store = open_store(disk.root)
             append(disk_store, 1, 3)
             kill_before_sync(disk, disk_store, change)
@@ -73,7 +73,7 @@
     state = types.HardState(4, VOTER)
     change = store.Change(hard_state=state)
     for seed in SEEDS:
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             disk_store = open_store(disk.root)
             kill_before_sync(disk, disk_store, change)
             assert open_store(disk.root).stored.hard_state == state
@@ -83,7 +83,7 @@
 
 def test_the_folders_of_a_new_store_survive_a_power_loss():
     for seed in SEEDS:
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             folder = disk.root / "groups" / GROUP
             disk_store = store_disk.DiskStore(folder, GROUP)
             append(disk_store, 1, 3)
@@ -97,7 +97,7 @@
     """The process was killed before a sync; the disk is full at the restart."""
     change = store.Change(entries=entries(4, 4))
     for seed, calls in itertools.product(SEEDS[:5], range(MIN_OPEN_CALLS)):
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             disk_store = open_store(disk.root)
             append(disk_store, 1, 3)
             kill_before_sync(disk, disk_store, change)
@@ -117,7 +117,7 @@
     snapshot = types.Snapshot(9, 1, MEMBERSHIP, b"state")
     change = store.Change(snapshot=snapshot)
     for open_calls, seed in itertools.product(range(7), SEEDS):
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             disk_store = open_store(disk.root)
             append(disk_store, 1, 9)
             disk.kill_after(calls)
@@ -135,7 +135,7 @@
 def test_a_restart_rewrites_entries_whose_sync_failed():
     """The system drops the pages it could not write; later syncs skip them."""
     for seed in SEEDS:
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             disk_store = open_store(disk.root)
             append(disk_store, 1, 3)
             disk.fail_next_sync()
@@ -151,12 +151,12 @@
 
 def test_folders_survive_a_power_loss_after_a_kill_during_creation():
     for calls, seed in itertools.product(range(8), SEEDS):
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             folder = disk.root / "groups" / GROUP
             disk.kill_after(calls)
             with contextlib.suppress(simulated_disk.ProcessKilled):
                 store_disk.DiskStore(folder, GROUP).close()
-            disk.restart()
+            disk.cancel_kill()
             disk_store = store_disk.DiskStore(folder, GROUP)
             append(disk_store, 1, 3)
             disk_store.close()
@@ -170,7 +170,7 @@
     """A power loss keeps any of the batch's writes, whole, torn or not."""
     change = store.Change(entries=entries(4, 6))
     for seed in range(10 * len(SEEDS)):
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             disk_store = open_store(disk.root)
             append(disk_store, 1, 3)
             disk.kill_after(calls)
@@ -189,7 +189,7 @@
     If it replaced the old file, a power loss could remove both.
     """
     for calls, seed in itertools.product(range(12), SEEDS):
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             disk.atomic_renames = False
             disk_store = open_store(disk.root)
             append(disk_store, 1, 9)
--- a/laburnumsill/core/replication.py
+++ b/laburnumsill/core/replication.py
@@ -167,7 +167,7 @@
         """Returns the newest term that this VM's replica has seen, or 0."""
 
     @abc.abstractmethod
-    def local(self, group: str) -> StateMachine | None:
+    def local_state_machine(self, group: str) -> StateMachine | None:
         """Returns this VM's replica of the group, maybe behind, or None."""
 
 
--- a/laburnumsill/daemon/configuration_sharing.py
+++ b/laburnumsill/daemon/configuration_sharing.py
@@ -222,7 +222,7 @@
             self._newest_version = part.version
 
     def _held(self) -> highest_version.HighestVersion:
-        machine = self._groups.local(self._group)
+        machine = self._groups.local_state_machine(self._group)
         if machine is None:
             raise errors.UnavailableError("no replica of the site is here")
         held: highest_version.HighestVersion = machine.component(
--- a/laburnumsill/daemon/configuration_sync.py
+++ b/laburnumsill/daemon/configuration_sync.py
@@ -224,7 +224,9 @@
 
     def _follows_root(self) -> bool:
         """Returns whether this VM has a root replica that does not lead."""
-        has_replica = self._groups.local(ids.ROOT_GROUP) is not None
+        has_replica = (
+            self._groups.local_state_machine(ids.ROOT_GROUP) is not None
+        )
         return has_replica and not self._groups.leads(ids.ROOT_GROUP)
 
     def status(self) -> list[configuration_api.VmInForce]:
@@ -329,7 +331,7 @@
 
     def _look_at_replica(self) -> None:
         """Offers the newest version in this VM's root replica, if any."""
-        machine = self._groups.local(ids.ROOT_GROUP)
+        machine = self._groups.local_state_machine(ids.ROOT_GROUP)
         if machine is None:
             return
         if machine is not self._observed:
--- a/laburnumsill/daemon/core_role.py
+++ b/laburnumsill/daemon/core_role.py
@@ -186,7 +186,7 @@
 
     def _newest_configuration(self) -> site.SiteConfiguration | None:
         """Returns the newest configuration that is known on this VM."""
-        machine = self._host.local(role.SITE_GROUP)
+        machine = self._host.local_state_machine(role.SITE_GROUP)
         if machine is None:
             return None
         component: highest_version.HighestVersion = machine.component(
--- a/laburnumsill/daemon/make_up_sync.py
+++ b/laburnumsill/daemon/make_up_sync.py
@@ -65,7 +65,7 @@
             await trio.sleep(INTERVAL_S)
 
     def _spread(self) -> None:
-        machine = self._groups.local(ids.ROOT_GROUP)
+        machine = self._groups.local_state_machine(ids.ROOT_GROUP)
         if machine is None:
             return
         self._follow(machine.component("make-up").make_up)
--- a/laburnumsill/daemon/tests/test_configuration_file.py
+++ b/laburnumsill/daemon/tests/test_configuration_file.py
@@ -24,13 +24,13 @@
 def test_a_version_that_a_restart_read_outlives_a_loss_of_power(calls):
     for seed in SEEDS:
         site = test_configuration_sync.Site()
-        with simulated_disk.simulated() as disk:
+        with simulated_disk.temporary_disk() as disk:
             file = configuration_file.ConfigurationFile(disk.root)
             file.write(site.push())
             disk.kill_after(calls)
             with contextlib.suppress(simulated_disk.ProcessKilled):
                 file.write(site.push())
-            disk.restart()
+            disk.cancel_kill()
             read = file.read()
             disk.lose_power(random.Random(seed))
             assert file.read() == read
--- a/laburnumsill/daemon/tests/test_configuration_sharing.py
+++ b/laburnumsill/daemon/tests/test_configuration_sharing.py
@@ -44,7 +44,7 @@
         self.lost = False
         self.takes_s = 0.01
 
-    def local(self, group):
+    def local_state_machine(self, group):
         return self._replica
 
     async def query(self, group, query, deadline):
--- a/laburnumsill/daemon/tests/test_configuration_sync.py
+++ b/laburnumsill/daemon/tests/test_configuration_sync.py
@@ -55,7 +55,7 @@
 
 
 class NoReplica(local_groups.LocalGroups):
-    def local(self, group):
+    def local_state_machine(self, group):
         return None
 
 
--- a/laburnumsill/emulator/leadership.py
+++ b/laburnumsill/emulator/leadership.py
@@ -117,7 +117,7 @@
         """Returns the VM that leads, as far as this one knows."""
         return self._shared.believed_leader(self._vm) or None
 
-    def local(self, group: str) -> replication.StateMachine:
+    def local_state_machine(self, group: str) -> replication.StateMachine:
         """Returns the state machine."""
         return self._shared.machine
 
--- a/laburnumsill/jobs/access.py
+++ b/laburnumsill/jobs/access.py
@@ -55,7 +55,7 @@
     @property
     def machine(self) -> replication.StateMachine | None:
         """This VM's replica, or None."""
-        return self._groups.local(self._group)
+        return self._groups.local_state_machine(self._group)
 
     @property
     def ledger(self) -> jobs.JobLedger:
--- a/laburnumsill/platform/tests/test_roles.py
+++ b/laburnumsill/platform/tests/test_roles.py
@@ -319,5 +319,5 @@
     path = await site.submit("urgent", 62, count=2, gpu=8, gang=True)
     await site.callers.until_state(path, "completed")
     leading = site.daemons[await site.until_leader()]
-    machine = leading._host.local(role.SITE_GROUP)
+    machine = leading._host.local_state_machine(role.SITE_GROUP)
     assert set(machine.component("batch").workers) == {"reborn", "w1"}
--- a/laburnumsill/requests/durable.py
+++ b/laburnumsill/requests/durable.py
@@ -90,7 +90,7 @@
                 await trio.sleep(SCAN_S if busy else IDLE_SCAN_S)
 
     def _scan(self, group: str, nursery: trio.Nursery) -> None:
-        machine = self._groups.local(group)
+        machine = self._groups.local_state_machine(group)
         if machine is None or not self._groups.leads(group):
             self._tries.pop(group, None)
             return
--- a/laburnumsill/testing/local_groups.py
+++ b/laburnumsill/testing/local_groups.py
@@ -42,7 +42,9 @@
         """Returns 1."""
         return 1
 
-    def local(self, group: str) -> replication.StateMachine | None:
+    def local_state_machine(
+        self, group: str
+    ) -> replication.StateMachine | None:
         """Returns the group's machine."""
         return self._machines.get(group)
 
