--- a/bench/state_node.py
+++ b/bench/state_node.py
@@ -118,7 +118,9 @@
             pathlib.Path(folder) / self._me.vm_id if folder else None,
             self._clock,
             measured,
-            first={f"group{n}": list(addresses) for n in range(groups)},
+            initial_voters={
+                f"group{n}": list(addresses) for n in range(groups)
+            },
         )
         self._groups = groups
 
@@ -162,7 +164,9 @@
             name = f"group{number}"
             while not self._host.leads(name):
                 deadline = self._clock.monotonic() + 10
-                await self._host.transfer(name, self._me.vm_id, deadline)
+                await self._host.transfer_leadership(
+                    name, self._me.vm_id, deadline
+                )
                 await trio.sleep(0.05)
         return {"leads": True}
 
--- a/laburnumsill/consensus/patience.py
+++ b/laburnumsill/consensus/election_timeout.py
@@ -17,7 +17,7 @@
 """
 
 from laburnumsill.consensus import options as options_module
-from laburnumsill.core import learnt_wait
+from laburnumsill.core import adaptive_timeout
 
 GAP_MULTIPLE = 3
 """Election timeout as a multiple of the longest recent gap; with 3, two
@@ -43,10 +43,10 @@
     def __init__(self, options: options_module.Options) -> None:
         shortest_s = GAP_MULTIPLE * options.heartbeat_s
         longest_s = options.election_timeout_s
-        if not options.learns_patience:
+        if not options.adaptive_election_timeout:
             shortest_s = longest_s
         self._last_message_at: float | None = None
-        self._timeout = learnt_wait.LearntWait(
+        self._timeout = adaptive_timeout.AdaptiveTimeout(
             shortest_s, longest_s, GAP_MULTIPLE
         )
 
@@ -58,7 +58,7 @@
     def on_leader_message(self, now: float) -> None:
         """Records a message of the leader at a monotonic time."""
         if self._last_message_at is not None:
-            self._timeout.note(now, now - self._last_message_at)
+            self._timeout.record(now, now - self._last_message_at)
         self._last_message_at = now
 
     def reset(self) -> None:
--- a/laburnumsill/consensus/group.py
+++ b/laburnumsill/consensus/group.py
@@ -16,11 +16,11 @@
 
 from laburnumsill.consensus import engine as engines
 from laburnumsill.consensus import group_apply
-from laburnumsill.consensus import group_lead
-from laburnumsill.consensus import group_promises
-from laburnumsill.consensus import group_ticks
+from laburnumsill.consensus import group_leadership
 from laburnumsill.consensus import group_waiters
+from laburnumsill.consensus import held_messages
 from laburnumsill.consensus import store
+from laburnumsill.consensus import tick_alignment
 from laburnumsill.consensus import types
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import codec
@@ -56,7 +56,7 @@
 
     Attributes:
         name: The name of the group.
-        me: The id of this replica.
+        replica_id: The id of this replica.
         machine: The state machine.
         outgoing: The messages that may be sent now; the host removes them.
     """
@@ -73,7 +73,7 @@
         rng: random.Random,
     ) -> None:
         self.name = name
-        self.me = types.ReplicaId(vm, replica_store.stored.incarnation)
+        self.replica_id = types.ReplicaId(vm, replica_store.stored.incarnation)
         self.machine = machine
         self.outgoing: list[types.Message] = []
         self._store = replica_store
@@ -92,12 +92,12 @@
         self._queued_changes = 0
         self._stored_changes = 0
         self._hard_state_change = 0
-        self._held_messages = group_promises.HeldMessages()
+        self._held_messages = held_messages.HeldMessages()
         self._change_queued = trio.Event()
         self._change_stored = trio.Event()
         self._is_bootstrapping = False
         self._next_snapshot_at = -math.inf
-        self._leadership = group_lead.LeadershipState(name)
+        self._leadership = group_leadership.LeadershipState(name)
         self._reported_membership_index = 0
         self._engine = self._new_engine(replica_store.stored)
 
@@ -149,7 +149,7 @@
     def is_member(self) -> bool:
         """Whether this replica is in the latest membership in its log."""
         membership = self._engine.membership
-        return self.me in membership.voters + membership.learners
+        return self.replica_id in membership.voters + membership.learners
 
     def take_membership_committed(self) -> bool:
         """Returns whether a membership change has been committed.
@@ -168,7 +168,7 @@
     @property
     def next_tick_at(self) -> float:
         """When `tick` has to be called next, in monotonic seconds."""
-        return group_ticks.due(
+        return tick_alignment.aligned_tick_at(
             self._engine.next_tick(), self._options.heartbeat_s, self.leads
         )
 
@@ -176,7 +176,7 @@
         """Advances the clock of the engine."""
         if self._is_bootstrapping:
             return
-        tick_time = group_ticks.moment(
+        tick_time = tick_alignment.aligned_time(
             now, self._engine.next_tick(), self._options.heartbeat_s, self.leads
         )
         self._engine.tick(tick_time)
@@ -221,14 +221,14 @@
         read_id = self._engine.read(self._clock.monotonic())
         return self._reads.add(read_id, query)
 
-    def transfer(self, vm: str) -> None:
+    def transfer_leadership(self, vm: str) -> None:
         """Starts a leadership transfer to the voter on `vm`.
 
         Raises:
             engines.NotLeaderError: This replica does not lead.
             engines.NoSuchVoterError: There is no voter on `vm`.
         """
-        self._engine.transfer(vm, self._clock.monotonic())
+        self._engine.transfer_leadership(vm, self._clock.monotonic())
 
     async def leadership_ended(self) -> None:
         """Waits until this replica has lost or transferred its leadership."""
@@ -242,7 +242,9 @@
         Raises:
             StorageError: The disk failed.
         """
-        hard_state, entry = engines.Engine.found(self.name, self.me, membership)
+        hard_state, entry = engines.Engine.bootstrap(
+            self.name, self.replica_id, membership
+        )
         if self._hard_state.term:
             hard_state = self._hard_state
         self._is_bootstrapping = True
@@ -254,8 +256,12 @@
         while self._stored_changes < self._queued_changes:
             await self._change_stored.wait()
         self._engine = self._new_engine(
-            types.Stored(
-                self.me.incarnation, hard_state, None, (entry,), self.with_disk
+            types.StoredState(
+                self.replica_id.incarnation,
+                hard_state,
+                None,
+                (entry,),
+                self.with_disk,
             )
         )
         self._is_bootstrapping = False
@@ -281,8 +287,8 @@
         self.step(
             types.Message(
                 types.MessageKind.APPEND,
-                self.me,
-                self.me,
+                self.replica_id,
+                self.replica_id,
                 term,
                 index=last,
                 log_term=self._engine.term_at(last) or 0,
@@ -338,12 +344,12 @@
             try:
                 await trio.to_thread.run_sync(self._store.commit, batch)
             except store.DiskFullError as error:
-                if all(change.may_be_left_out for change in batch):
+                if all(change.can_be_skipped for change in batch):
                     self._postpone_snapshot(error)
                     break
                 self._on_disk_full(error)
                 schedule_output()
-                await trio.sleep(store.RETRY_S)
+                await trio.sleep(store.DISK_FULL_RETRY_S)
             else:
                 self._on_disk_writable()
                 break
@@ -382,10 +388,10 @@
         self._proposals.fail("the replica was stopped")
         self._reads.fail_all()
 
-    def _new_engine(self, stored: types.Stored) -> engines.Engine:
+    def _new_engine(self, stored: types.StoredState) -> engines.Engine:
         return engines.Engine(
             self.name,
-            self.me,
+            self.replica_id,
             stored,
             self._options,
             self._clock.monotonic(),
@@ -393,13 +399,13 @@
         )
 
     def _execute(self, output: types.Output) -> None:
-        if output.install is not None:
-            self._applier.install(output.install)
+        if output.snapshot is not None:
+            self._applier.install(output.snapshot)
             self._proposals.fail(
-                "a snapshot was installed", output.install.index
+                "a snapshot was installed", output.snapshot.index
             )
         change = store.Change(
-            output.hard_state, output.install, False, output.append
+            output.hard_state, output.snapshot, False, output.entries
         )
         if not change.is_empty:
             self._queue_change(change)
@@ -412,7 +418,7 @@
             self._proposals.resolve(entry.index, entry.term, outcome)
         for read in output.reads:
             self._answer_read(read)
-        for read_id in output.lost_reads:
+        for read_id in output.failed_reads:
             self._reads.fail(read_id)
 
     def _queue_change(self, change: store.Change) -> None:
@@ -425,7 +431,7 @@
 
     def _required_change(self, message: types.Message) -> int:
         """Returns the number of the change that must be stored first."""
-        if message.kind in group_promises.UNSYNCED_KINDS:
+        if message.kind in held_messages.UNSYNCED_KINDS:
             return self._hard_state_change
         return self._queued_changes
 
@@ -447,7 +453,7 @@
         for change in reversed(changes):
             if change.entries and not self._is_bootstrapping:
                 last = change.entries[-1]
-                self._engine.synced(last.index, last.term)
+                self._engine.on_synced(last.index, last.term)
                 break
 
     def _release_messages(self) -> None:
--- a/laburnumsill/consensus/host.py
+++ b/laburnumsill/consensus/host.py
@@ -10,11 +10,11 @@
 from laburnumsill.consensus import engine as engines
 from laburnumsill.consensus import forwarded
 from laburnumsill.consensus import group as groups
-from laburnumsill.consensus import host_forward
-from laburnumsill.consensus import host_members
 from laburnumsill.consensus import host_messages
 from laburnumsill.consensus import host_replicas
 from laburnumsill.consensus import host_status
+from laburnumsill.consensus import leader_forwarder
+from laburnumsill.consensus import membership_manager
 from laburnumsill.consensus import voter_choice
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import codec
@@ -49,7 +49,7 @@
     """Hosts this VM's replicas and forwards requests to the leaders.
 
     Args:
-        me: This VM.
+        local_vm: This VM.
         vms: All VMs, including this one.
         network: The connections to the other VMs; run by the caller.
         make_machine: Creates the empty state machine of a group.
@@ -58,14 +58,14 @@
         metrics: The registry of the metrics.
         options: The settings of the engine, the same on all VMs.
         limits: The limits after which a snapshot is taken.
-        first: The initial voters by group, the same on all VMs;
-            `topology.first_groups` by default.
+        initial_voters: The initial voters by group, the same on all VMs;
+            `topology.initial_voters` by default.
         choice: Chooses the voters if no settings name them.
     """
 
     def __init__(
         self,
-        me: topology.Vm,
+        local_vm: topology.Vm,
         vms: abc.Sequence[topology.Vm],
         network: networks.PeerNetwork,
         make_machine: abc.Callable[[str], replication.StateMachine],
@@ -74,28 +74,36 @@
         metrics: metrics_module.Metrics,
         options: engines.Options = DEFAULT_OPTIONS,
         limits: SnapshotLimits = DEFAULT_LIMITS,
-        first: abc.Mapping[str, abc.Sequence[str]] | None = None,
+        initial_voters: abc.Mapping[str, abc.Sequence[str]] | None = None,
         choice: voter_choice.VoterChoice | None = None,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._clock = clock
         self._metrics = metrics
         self._options = options
         self._network = network
         self._replicas = host_replicas.Replicas(
-            me.vm_id, network, make_machine, data_folder, clock, options, limits
+            local_vm.vm_id,
+            network,
+            make_machine,
+            data_folder,
+            clock,
+            options,
+            limits,
         )
-        self._membership_manager = host_members.MembershipManager(
-            me.vm_id,
-            topology.first_groups(vms) if first is None else first,
+        self._membership_manager = membership_manager.MembershipManager(
+            local_vm.vm_id,
+            topology.initial_voters(vms)
+            if initial_voters is None
+            else initial_voters,
             frozenset(vm.vm_id for vm in vms if vm.has_disk),
             network,
             clock,
             options,
             choice,
         )
-        self._forwarder = host_forward.Forwarder(
-            me.vm_id, network, clock, self._leader_of, self._replica_vms
+        self._forwarder = leader_forwarder.Forwarder(
+            local_vm.vm_id, network, clock, self._leader_of, self._replica_vms
         )
         self._discovering: set[str] = set()
         network.on_call(forwarded.ForwardedProposal, self._on_proposal)
@@ -137,7 +145,7 @@
                 f"the command has {len(raw)} bytes, {MAX_COMMAND_BYTES} allowed"
             )
         wall = self._clock.wall_deadline(deadline)
-        request = host_forward.LeaderRequest(
+        request = leader_forwarder.LeaderRequest(
             group,
             forwarded.ForwardedProposal(group, raw, wall),
             functools.partial(self._propose_locally, group, raw),
@@ -150,7 +158,7 @@
     ) -> typing.Any:
         """Answers a query; see the base class."""
         wall = self._clock.wall_deadline(deadline)
-        request = host_forward.LeaderRequest(
+        request = leader_forwarder.LeaderRequest(
             group,
             forwarded.ForwardedQuery(group, codec.encode(query), wall),
             functools.partial(self._query_locally, group, query),
@@ -188,7 +196,9 @@
         replicas = membership.voters + membership.learners
         return tuple(dict.fromkeys(replica.vm for replica in replicas))
 
-    def local(self, group: str) -> replication.StateMachine | None:
+    def local_state_machine(
+        self, group: str
+    ) -> replication.StateMachine | None:
         """Returns the state machine of this VM's replica, or None without one.
 
         It may lack committed commands.
@@ -203,7 +213,7 @@
             for _, hosted in sorted(self._replicas.hosted.items())
         ]
 
-    def set_make_up(
+    def set_desired_voters(
         self, desired_voters: abc.Mapping[str, abc.Sequence[str]]
     ) -> None:
         """Sets the desired voters by group, the same on all VMs.
@@ -211,9 +221,9 @@
         The leaders change the membership one replica at a time. This VM opens
         the replicas assigned to it and retires those removed from their groups.
         """
-        self._membership_manager.set_make_up(desired_voters)
+        self._membership_manager.set_desired_voters(desired_voters)
 
-    async def transfer(
+    async def transfer_leadership(
         self, group: str, vm: str | None, deadline: float
     ) -> None:
         """Transfers the leadership of a group.
@@ -229,7 +239,7 @@
             errors.UnavailableError: The transfer did not end in time.
         """
         wall = self._clock.wall_deadline(deadline)
-        request = host_forward.LeaderRequest(
+        request = leader_forwarder.LeaderRequest(
             group,
             host_messages.TransferOrder(group, vm, wall),
             functools.partial(self._transfer_locally, group, vm),
@@ -237,7 +247,7 @@
         )
         await self._forwarder.forward(request)
 
-    async def hand_over(self) -> None:
+    async def transfer_leaderships(self) -> None:
         """Transfers the leadership of all groups led here, for a shutdown."""
         timeout_s = 2 * self._options.election_timeout_s
         deadline = self._clock.monotonic() + timeout_s
@@ -263,7 +273,7 @@
         groups_here = {
             name
             for name, vms in self._membership_manager.desired_voters.items()
-            if self._me.vm_id in vms
+            if self._local_vm.vm_id in vms
         }
         return sorted(groups_here | set(self._replicas.stored_groups()))
 
@@ -285,7 +295,7 @@
         hosted = self._replicas.hosted.get(name)
         if hosted is None:
             raise engines.NotLeaderError(
-                f"{self._me.vm_id} hosts no replica of {name!r}"
+                f"{self._local_vm.vm_id} hosts no replica of {name!r}"
             )
         return hosted
 
@@ -337,11 +347,11 @@
         self, name: str, vm: str | None, deadline: float
     ) -> forwarded.Outcome:
         hosted = self._hosted(name)
-        if hosted.leads and vm == self._me.vm_id:
+        if hosted.leads and vm == self._local_vm.vm_id:
             return forwarded.Outcome()
         target = vm or self._most_advanced_voter(hosted)
         try:
-            hosted.transfer(target)
+            hosted.transfer_leadership(target)
         except errors.InvalidInputError as error:
             return forwarded.Outcome(refusal=error)
         self._replicas.schedule(name)
@@ -382,7 +392,7 @@
         outcome = await self._propose_locally(
             request.group, request.command, deadline
         )
-        return host_forward.answer_of(outcome)
+        return leader_forwarder.encode_outcome(outcome)
 
     async def _on_query(
         self, request: forwarded.ForwardedQuery
@@ -390,7 +400,7 @@
         deadline = self._clock.monotonic_deadline(request.deadline)
         query = codec.decode(request.query)
         outcome = await self._query_locally(request.group, query, deadline)
-        return host_forward.answer_of(outcome)
+        return leader_forwarder.encode_outcome(outcome)
 
     async def _on_transfer(
         self, request: host_messages.TransferOrder
@@ -399,7 +409,7 @@
         outcome = await self._transfer_locally(
             request.group, request.vm, deadline
         )
-        return host_forward.answer_of(outcome)
+        return leader_forwarder.encode_outcome(outcome)
 
     async def _on_hello(
         self, hello: host_messages.Hello
@@ -440,7 +450,7 @@
         groups_here = {
             name
             for name, vms in self._membership_manager.desired_voters.items()
-            if self._me.vm_id in vms and name not in self._discovering
+            if self._local_vm.vm_id in vms and name not in self._discovering
         }
         groups_here |= self._replicas.waiting_for_space
         return sorted(groups_here - self._replicas.hosted.keys())
--- a/laburnumsill/consensus/leading.py
+++ b/laburnumsill/consensus/leader_state.py
@@ -3,7 +3,7 @@
 from laburnumsill.consensus import engine_errors
 from laburnumsill.consensus import membership as membership_module
 from laburnumsill.consensus import progress as progress_module
-from laburnumsill.consensus import reads
+from laburnumsill.consensus import read_queue
 from laburnumsill.consensus import replica as replica_module
 from laburnumsill.consensus import snapshot_receiver
 from laburnumsill.consensus import types
@@ -23,7 +23,7 @@
     def __init__(self, replica: replica_module.Replica) -> None:
         self.progress: dict[types.ReplicaId, progress_module.Progress] = {}
         self._replica = replica
-        self._reads = reads.ReadQueue()
+        self._reads = read_queue.ReadQueue()
         self._heartbeat_at = replica.now
         self._transfer_to: types.ReplicaId | None = None
         self._transfer_deadline = replica.now
@@ -78,7 +78,9 @@
         ]
         if len(writable) < membership_module.majority(membership):
             return []
-        return [member for member in writable if member != self._replica.me]
+        return [
+            member for member in writable if member != self._replica.replica_id
+        ]
 
     @property
     def next_tick(self) -> float:
@@ -88,10 +90,10 @@
     @property
     def _quorum_deadline(self) -> float:
         replica = self._replica
-        heard_at = membership_module.reached_by_majority(
-            replica.log.membership, self._heard_at
+        last_contact_at = membership_module.reached_by_majority(
+            replica.log.membership, self._last_contact_at
         )
-        return heard_at + replica.options.election_timeout_s
+        return last_contact_at + replica.options.election_timeout_s
 
     def propose(self, kind: types.EntryKind, data: bytes) -> tuple[int, int]:
         """Appends an entry; returns its index and term."""
@@ -125,7 +127,7 @@
         """Adds a read to the next heartbeat round."""
         self._reads.add(read_id)
 
-    def transfer(self, vm: str) -> None:
+    def transfer_leadership(self, vm: str) -> None:
         """Begins a leadership transfer to the voter on `vm`.
 
         Raises:
@@ -133,14 +135,14 @@
         """
         replica = self._replica
         for voter in replica.log.membership.voters:
-            if voter.vm == vm and voter != replica.me:
+            if voter.vm == vm and voter != replica.replica_id:
                 self._transfer_to = voter
                 self._timeout_now_sent = False
                 self._transfer_deadline = (
                     replica.now + replica.options.election_timeout_s
                 )
                 return
-        if vm != replica.me.vm:
+        if vm != replica.replica_id.vm:
             raise engine_errors.NoSuchVoterError(
                 f"no voter of group {replica.group} is on {vm!r}", vm=vm
             )
@@ -159,7 +161,7 @@
         progress = self.progress.get(message.source)
         if progress is None:
             return
-        progress.heard_at = self._replica.now
+        progress.last_contact_at = self._replica.now
         if message.kind is types.MessageKind.APPEND_REPLY:
             self._on_append_reply(progress, message)
         elif message.kind is types.MessageKind.HEARTBEAT_REPLY:
@@ -215,14 +217,14 @@
         self._send_heartbeats()
         self._replica.send(types.MessageKind.TIMEOUT_NOW, best)
 
-    def kept_bytes(self) -> int:
+    def retained_bytes(self) -> int:
         """Returns the number of entry bytes to retain behind a snapshot."""
         options = self._replica.options
         sending = any(
             member.mode is progress_module.Mode.SNAPSHOT
             for member in self.progress.values()
         )
-        return options.max_kept_bytes if sending else options.kept_bytes
+        return options.max_retained_bytes if sending else options.retained_bytes
 
     def _append(self, kind: types.EntryKind, data: bytes) -> tuple[int, int]:
         replica = self._replica
@@ -236,23 +238,25 @@
         for removed_member in self.progress.keys() - set(all_members):
             del self.progress[removed_member]
         for member in all_members:
-            if member != replica.me and member not in self.progress:
+            if member != replica.replica_id and member not in self.progress:
                 self.progress[member] = progress_module.Progress(
                     replica.log.last_index + 1, replica.now, replica.options
                 )
 
-    def _heard_at(self, voter: types.ReplicaId) -> float:
-        if voter == self._replica.me:
+    def _last_contact_at(self, voter: types.ReplicaId) -> float:
+        if voter == self._replica.replica_id:
             return self._replica.now
-        return self.progress[voter].heard_at
+        return self.progress[voter].last_contact_at
 
     def _is_writable(self, voter: types.ReplicaId) -> bool:
         """Returns whether a voter is reachable and able to write."""
         replica = self._replica
-        if voter == replica.me:
+        if voter == replica.replica_id:
             return replica.writable
         progress = self.progress[voter]
-        unreachable_at = progress.heard_at + replica.options.election_timeout_s
+        unreachable_at = (
+            progress.last_contact_at + replica.options.election_timeout_s
+        )
         return progress.writable and replica.now < unreachable_at
 
     def _can_sync(self, voter: types.ReplicaId) -> bool:
@@ -263,17 +267,17 @@
         )
 
     def _match_index(self, voter: types.ReplicaId) -> int:
-        if voter == self._replica.me:
+        if voter == self._replica.replica_id:
             return self._replica.durable
         return self.progress[voter].match
 
     def _synced_index(self, voter: types.ReplicaId) -> int:
-        if voter == self._replica.me:
+        if voter == self._replica.replica_id:
             return self._replica.durable if self._replica.has_disk else 0
         return self.progress[voter].synced
 
     def _acked_round(self, voter: types.ReplicaId) -> int:
-        if voter == self._replica.me:
+        if voter == self._replica.replica_id:
             return self._reads.newest_round
         return self.progress[voter].round
 
@@ -406,7 +410,9 @@
         if not transfer_targets:
             self._transfer_to = None
         elif not self.transferring:
-            self.transfer(max(transfer_targets, key=self._match_index).vm)
+            self.transfer_leadership(
+                max(transfer_targets, key=self._match_index).vm
+            )
 
     def _send_timeout_now(self) -> None:
         target = self._transfer_to
--- a/laburnumsill/consensus/host_members.py
+++ b/laburnumsill/consensus/membership_manager.py
@@ -10,11 +10,11 @@
 from collections import abc
 
 from laburnumsill.consensus import engine as engines
-from laburnumsill.consensus import founding
 from laburnumsill.consensus import group as groups
-from laburnumsill.consensus import group_make_up
+from laburnumsill.consensus import group_bootstrap
 from laburnumsill.consensus import host_messages
 from laburnumsill.consensus import host_recovery
+from laburnumsill.consensus import membership_change
 from laburnumsill.consensus import types
 from laburnumsill.consensus import voter_choice
 from laburnumsill.core import clock as clocks
@@ -43,8 +43,8 @@
     """Bootstraps, joins and recovers groups, and changes their membership.
 
     Args:
-        me: The id of this VM.
-        first: The initial voters by group.
+        local_vm: The id of this VM.
+        initial_voters: The initial voters by group.
         disks: The VMs that have a disk.
         peers: The connections to the other VMs.
         clock: The clock of this process.
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        me: str,
+        local_vm: str,
         initial_voters: abc.Mapping[str, abc.Sequence[str]],
         disks: frozenset[str],
         peers: replication.Peers,
@@ -63,7 +63,7 @@
         options: engines.Options,
         choice: voter_choice.VoterChoice | None = None,
     ) -> None:
-        self._me = me
+        self._local_vm = local_vm
         self._choice = choice
         self._join_requested_at: dict[str, dict[str, float]] = {}
         self._initial_voters = initial_voters
@@ -76,7 +76,7 @@
         }
         self._desired_voters_set = False
         self._join_requests: dict[
-            str, dict[str, group_make_up.JoinRequest]
+            str, dict[str, membership_change.JoinRequest]
         ] = {}
         self._leader_seen_at: dict[str, float] = {}
         self._reported_leaders: dict[str, str] = {}
@@ -94,7 +94,7 @@
         """
         return self._reported_leaders.get(name)
 
-    def set_make_up(
+    def set_desired_voters(
         self, desired_voters: abc.Mapping[str, abc.Sequence[str]]
     ) -> None:
         """Replaces the desired voters by group."""
@@ -109,7 +109,7 @@
         group: groups.HostedGroup | None,
     ) -> host_messages.HelloAnswer:
         """Answers the hello of a replica and records its join request."""
-        request = group_make_up.JoinRequest(hello.replica, hello.with_disk)
+        request = membership_change.JoinRequest(hello.replica, hello.with_disk)
         requests = self._join_requests.setdefault(hello.group, {})
         requests[hello.replica.vm] = request
         requested_at = self._join_requested_at.setdefault(hello.group, {})
@@ -149,28 +149,32 @@
         vms = dict.fromkeys(
             [*initial_voters, *desired, *(v.vm for v in voters)]
         )
-        vms.pop(self._me, None)
-        hello = host_messages.Hello(name, group.me, group.with_disk)
+        vms.pop(self._local_vm, None)
+        hello = host_messages.Hello(name, group.replica_id, group.with_disk)
         deadline = self._clock.monotonic() + HELLO_TIMEOUT_S
-        answers = await founding.send_hellos(self._peers, vms, hello, deadline)
+        answers = await group_bootstrap.send_hellos(
+            self._peers, vms, hello, deadline
+        )
         self._record_leader(name, answers)
         if group.is_fresh and self._is_bootstrap_vm(name):
-            membership = founding.initial_membership(
-                group.me, group.with_disk, initial_voters, answers
+            membership = group_bootstrap.initial_membership(
+                group.replica_id, group.with_disk, initial_voters, answers
             )
             if membership is not None:
                 await group.bootstrap(membership)
                 return False
         if group.is_member and not group.is_fresh:
             self._recover_if_due(group, answers)
-        if self._me in desired:
+        if self._local_vm in desired:
             return False
         return group.is_fresh or any(
             answer.established and answer.leader and not answer.member
             for answer in answers.values()
         )
 
-    def _record_leader(self, name: str, answers: founding.Answers) -> None:
+    def _record_leader(
+        self, name: str, answers: group_bootstrap.Answers
+    ) -> None:
         self._reported_leaders.pop(name, None)
         with_leader = [answer for answer in answers.values() if answer.leader]
         if with_leader and not any(answer.member for answer in with_leader):
@@ -184,7 +188,7 @@
             Whether a change was proposed.
         """
         view = self._view(group)
-        change = group_make_up.next_change(view)
+        change = membership_change.next_change(view)
         if change is None:
             return False
         with contextlib.suppress(*_CHANGE_REFUSED):
@@ -201,11 +205,13 @@
         return False
 
     def _recover_if_due(
-        self, group: groups.HostedGroup, answers: founding.Answers
+        self, group: groups.HostedGroup, answers: group_bootstrap.Answers
     ) -> None:
         """Continues with the surviving voters if `host_recovery` allows it."""
         recovery = host_recovery.recovery_membership(
-            group.engine.membership, _hello_answer(group, group.me), answers
+            group.engine.membership,
+            _hello_answer(group, group.replica_id),
+            answers,
         )
         if recovery is None:
             return
@@ -226,17 +232,18 @@
         """Returns the VMs that should be learners, besides desired voters."""
         if self._choice is None:
             return ()
-        return self._choice.prepared(self._voter_view(group))
+        return self._choice.desired_learners(self._voter_view(group))
 
     def _target_voters(self, group: groups.HostedGroup) -> tuple[str, ...]:
         """Returns the VMs that should vote, as far as this VM knows.
 
         A VM that has just started knows only the initial voters. If the
-        membership has changed since, it stays unchanged until `set_make_up`
-        is called; otherwise a restart would revert the changes.
+        membership has changed since, it stays unchanged until
+        `set_desired_voters` is called; otherwise a restart would revert the
+        changes.
         """
         if self._choice is not None:
-            return self._choice.desired(self._voter_view(group))
+            return self._choice.desired_voters(self._voter_view(group))
         membership = group.engine.membership
         members = [m.vm for m in membership.voters + membership.learners]
         initial_voters = self._initial_voters.get(group.name, ())
@@ -247,43 +254,48 @@
     def _voter_view(self, group: groups.HostedGroup) -> voter_choice.VoterView:
         engine = group.engine
         last_contact_at = {
-            replica.vm: follower.heard_at
+            replica.vm: follower.last_contact_at
             for replica, follower in engine.progress.items()
         }
         return voter_choice.VoterView(
             tuple(dict.fromkeys(v.vm for v in engine.membership.voters)),
             tuple(dict.fromkeys(v.vm for v in engine.membership.learners)),
-            {**last_contact_at, self._me: self._clock.monotonic()},
+            {**last_contact_at, self._local_vm: self._clock.monotonic()},
             self._join_requested_at.get(group.name, {}),
             self._clock.monotonic(),
         )
 
     def _is_bootstrap_vm(self, name: str) -> bool:
         initial_voters = self._initial_voters.get(name, ())
-        if self._me not in initial_voters:
+        if self._local_vm not in initial_voters:
             return False
-        return founding.bootstrap_vm(initial_voters, self._disks) == self._me
+        return (
+            group_bootstrap.bootstrap_vm(initial_voters, self._disks)
+            == self._local_vm
+        )
 
-    def _view(self, group: groups.HostedGroup) -> group_make_up.MembershipView:
+    def _view(
+        self, group: groups.HostedGroup
+    ) -> membership_change.MembershipView:
         engine = group.engine
         progress = engine.progress
         alive_after = self._clock.monotonic() - self._options.election_timeout_s
         alive = {
             replica
             for replica, follower in progress.items()
-            if follower.heard_at >= alive_after and follower.match > 0
+            if follower.last_contact_at >= alive_after and follower.match > 0
         }
         caught_up = {
             replica
             for replica in alive
             if progress[replica].match + MAX_PROMOTION_LAG >= engine.last_index
         }
-        return group_make_up.MembershipView(
+        return membership_change.MembershipView(
             engine.membership,
             self._target_voters(group),
             self._join_requests.get(group.name, {}),
             frozenset(caught_up),
-            frozenset(alive | {group.me}),
+            frozenset(alive | {group.replica_id}),
             self._disks,
             self._desired_learners(group),
         )
@@ -295,7 +307,7 @@
     engine = group.engine
     membership = engine.membership
     return host_messages.HelloAnswer(
-        replica=group.me,
+        replica=group.replica_id,
         fresh=group.is_fresh,
         with_disk=group.with_disk,
         member=sender in membership.voters + membership.learners,
--- a/laburnumsill/consensus/remote.py
+++ b/laburnumsill/consensus/remote_groups.py
@@ -6,13 +6,13 @@
 
 from laburnumsill.consensus import engine_errors
 from laburnumsill.consensus import forwarded
-from laburnumsill.consensus import host_forward
+from laburnumsill.consensus import leader_forwarder
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import codec
 from laburnumsill.core import errors
 from laburnumsill.core import replication
 
-ATTEMPT_S = 0.3
+MAX_CALL_TIMEOUT_S = 0.3
 """Upper limit of the timeout of a call to one VM, in seconds, after which
 another VM is called. A commit takes 10 to 20 ms, or a few hundred milliseconds
 on a slow disk."""
@@ -22,23 +22,28 @@
     """Forwards commands and queries to the leaders of the groups.
 
     Args:
-        me: The id of this VM.
+        local_vm: The id of this VM.
         peers: The connections to the other VMs.
         clock: The clock of this process.
-        hosts: Returns the VMs that may host replicas.
+        replica_vms: Returns the VMs that may host replicas.
     """
 
     def __init__(
         self,
-        me: str,
+        local_vm: str,
         peers: replication.Peers,
         clock: clocks.Clock,
-        hosts: abc.Callable[[], abc.Sequence[str]],
+        replica_vms: abc.Callable[[], abc.Sequence[str]],
     ) -> None:
         self._clock = clock
-        self._hosts = hosts
-        self._forwarder = host_forward.Forwarder(
-            me, peers, clock, lambda _: None, self._replica_vms, ATTEMPT_S
+        self._get_replica_vms = replica_vms
+        self._forwarder = leader_forwarder.Forwarder(
+            local_vm,
+            peers,
+            clock,
+            lambda _: None,
+            self._replica_vms,
+            MAX_CALL_TIMEOUT_S,
         )
 
     async def propose(
@@ -71,23 +76,23 @@
         """Returns 0, since this VM hosts no replica."""
         return 0
 
-    def local(self, group: str) -> None:
+    def local_state_machine(self, group: str) -> None:
         """Returns None, since this VM hosts no replica."""
         return
 
     def _leader_request(
         self, group: str, message: object, deadline: float, read_only: bool
-    ) -> host_forward.LeaderRequest:
+    ) -> leader_forwarder.LeaderRequest:
         run_locally = functools.partial(_no_local_replica, group)
-        return host_forward.LeaderRequest(
+        return leader_forwarder.LeaderRequest(
             group, message, run_locally, deadline, read_only
         )
 
     def _replica_vms(self, group: str) -> abc.Sequence[str]:
-        hosts = self._hosts()
-        if not hosts:
+        replica_vms = self._get_replica_vms()
+        if not replica_vms:
             raise errors.NoQuorumError(f"no VM of group {group!r} is known")
-        return hosts
+        return replica_vms
 
 
 async def _no_local_replica(group: str, deadline: float) -> forwarded.Outcome:
--- a/laburnumsill/consensus/store.py
+++ b/laburnumsill/consensus/store.py
@@ -56,7 +56,7 @@
     title = "The store is closed"
 
 
-RETRY_S = 0.5
+DISK_FULL_RETRY_S = 0.5
 """Interval between attempts to write to a full disk.
 
 A replica has to take part again within 2 s after space becomes free, and an
@@ -99,7 +99,7 @@
     entries: tuple[types.Entry, ...] = ()
 
     @property
-    def may_be_left_out(self) -> bool:
+    def can_be_skipped(self) -> bool:
         """True if the change is only a snapshot taken by this replica.
 
         The log still holds the entries that such a snapshot covers.
@@ -156,7 +156,7 @@
 
     @property
     @abc.abstractmethod
-    def stored(self) -> types.Stored:
+    def stored(self) -> types.StoredState:
         """The state that was read when the store was opened."""
 
     @property
@@ -187,7 +187,7 @@
         """Closes the store; committed changes stay stored."""
 
 
-def is_fresh(stored: types.Stored) -> bool:
+def is_fresh(stored: types.StoredState) -> bool:
     """Returns whether a store holds no state besides its incarnation."""
     return (
         stored.hard_state == types.HardState()
@@ -208,11 +208,13 @@
     """
 
     def __init__(self) -> None:
-        self._stored = types.Stored(ids.fresh("r"), types.HardState(), None, ())
+        self._stored = types.StoredState(
+            ids.fresh("r"), types.HardState(), None, ()
+        )
         self._log_bytes = 0
 
     @property
-    def stored(self) -> types.Stored:
+    def stored(self) -> types.StoredState:
         """The empty state of a new incarnation."""
         return self._stored
 
--- a/laburnumsill/consensus/tests/kept_group.py
+++ b/laburnumsill/consensus/tests/managed_group.py
@@ -8,8 +8,8 @@
 import string
 
 from laburnumsill.consensus import engine as engines
-from laburnumsill.consensus import host_members
 from laburnumsill.consensus import host_messages
+from laburnumsill.consensus import membership_manager
 from laburnumsill.consensus import types
 from laburnumsill.consensus import voter_choice
 from laburnumsill.consensus.tests import simulated_group
@@ -48,7 +48,7 @@
 
     def __init__(self, host: simulated_group.Host, now: float) -> None:
         self._now = now
-        self.me = host.me
+        self.replica_id = host.replica_id
         self.engine = host.engine
 
     @property
@@ -58,7 +58,7 @@
     @property
     def is_member(self) -> bool:
         membership = self.engine.membership
-        return self.me in membership.voters + membership.learners
+        return self.replica_id in membership.voters + membership.learners
 
     def propose_membership(self, membership: types.Membership) -> None:
         self.engine.propose_membership(membership, self._now)
@@ -68,20 +68,20 @@
     """A group with managed membership; all its VMs have disks.
 
     Args:
-        vms: The VMs; the first `wanted` are the initial voters.
-        wanted: The desired number of voters.
+        vms: The VMs; the first `voter_count` are the initial voters.
+        voter_count: The desired number of voters.
         seed: The seed of the random numbers.
     """
 
-    def __init__(self, vms: str, wanted: int, seed: int) -> None:
-        self._wanted = wanted
-        self._managers: dict[str, host_members.MembershipManager] = {}
+    def __init__(self, vms: str, voter_count: int, seed: int) -> None:
+        self._voter_count = voter_count
+        self._managers: dict[str, membership_manager.MembershipManager] = {}
         self._engines: dict[str, engines.Engine | None] = {}
         self._clock = clocks.ManualClock()
         self._step_count = 0
         self._reported_membership_index = 0
-        super().__init__(vms[:wanted], string.ascii_lowercase, seed)
-        for spare in vms[wanted:]:
+        super().__init__(vms[:voter_count], string.ascii_lowercase, seed)
+        for spare in vms[voter_count:]:
             self.add(spare)
 
     @property
@@ -126,7 +126,7 @@
             if self._engines.get(vm) is not host.engine:
                 self._engines[vm] = host.engine
                 self._managers[vm] = self._new_manager(vm)
-            self._managers[vm].set_make_up({GROUP: tuple(self.hosts)})
+            self._managers[vm].set_desired_voters({GROUP: tuple(self.hosts)})
         for vm in self.random.sample(sorted(running), len(running)):
             hosted = _HostedReplica(running[vm], self.now)
             if self._managers[vm].needs_discovery(hosted):
@@ -150,23 +150,23 @@
     def _is_up(self, host: simulated_group.Host) -> bool:
         return host.engine is not None and self.now >= host.paused_until
 
-    def _new_manager(self, vm: str) -> host_members.MembershipManager:
-        return host_members.MembershipManager(
+    def _new_manager(self, vm: str) -> membership_manager.MembershipManager:
+        return membership_manager.MembershipManager(
             vm,
             {},
             frozenset(sorted(self.hosts)[:3]),
             _NoPeers(),
             self._clock,
             simulated_group.OPTIONS,
-            voter_choice.VoterChoice(self._wanted),
+            voter_choice.VoterChoice(self._voter_count),
         )
 
     def _send_hello(
         self, hosted: _HostedReplica, running: dict[str, simulated_group.Host]
     ) -> None:
-        hello = host_messages.Hello(GROUP, hosted.me, True)
+        hello = host_messages.Hello(GROUP, hosted.replica_id, True)
         for vm, host in running.items():
-            link = frozenset((vm, hosted.me.vm))
+            link = frozenset((vm, hosted.replica_id.vm))
             if vm in self._managers and self.now >= self.cut.get(link, 0.0):
                 self._managers[vm].answer_hello(
                     hello, _HostedReplica(host, self.now)
--- a/laburnumsill/consensus/tests/test_patience.py
+++ b/laburnumsill/consensus/tests/test_election_timeout.py
@@ -4,16 +4,16 @@
 
 import pytest
 
+from laburnumsill.consensus import election_timeout
 from laburnumsill.consensus import options as options_module
-from laburnumsill.consensus import patience
-from laburnumsill.core import learnt_wait
+from laburnumsill.core import adaptive_timeout
 
 OPTIONS = options_module.Options(0.8, 0.1)
 
 
-def timeout_after(*gaps: float) -> patience.ElectionTimeout:
+def timeout_after(*gaps: float) -> election_timeout.ElectionTimeout:
     """Returns the election timeout of a follower after these gaps."""
-    timeout = patience.ElectionTimeout(OPTIONS)
+    timeout = election_timeout.ElectionTimeout(OPTIONS)
     now = 100.0
     timeout.on_leader_message(now)
     for gap in gaps:
@@ -44,7 +44,7 @@
 
 
 def test_old_delays_are_forgotten():
-    beats = int(learnt_wait.REMEMBERED_S / 0.1) + 2
+    beats = int(adaptive_timeout.WINDOW_S / 0.1) + 2
     assert timeout_after(*[0.1] * 9, 0.25, *[0.1] * beats).seconds == (
         pytest.approx(0.3)
     )
@@ -66,15 +66,15 @@
 def test_live_leader_rarely_times_out(delay_s, loss):
     """Heartbeats are delayed by up to `delay_s`, and some are lost."""
     source = random.Random(7)
-    timeout = patience.ElectionTimeout(OPTIONS)
-    heard_at = 0.0
+    timeout = election_timeout.ElectionTimeout(OPTIONS)
+    last_message_at = 0.0
     timeouts = 0
     for beat in range(1, 6_000):
         if source.random() < loss:
             continue
-        now = max(heard_at, 0.1 * beat + source.uniform(0, delay_s))
-        timeouts += beat > 1 and now - heard_at > timeout.seconds
+        now = max(last_message_at, 0.1 * beat + source.uniform(0, delay_s))
+        timeouts += beat > 1 and now - last_message_at > timeout.seconds
         timeout.on_leader_message(now)
-        heard_at = now
+        last_message_at = now
     # Limits for ten minutes of heartbeats.
     assert timeouts <= (1 if loss else 0)
--- a/laburnumsill/consensus/tests/test_host_group.py
+++ b/laburnumsill/consensus/tests/test_host_group.py
@@ -27,7 +27,9 @@
 
     with_disk = True
     log_bytes = 0
-    stored = types.Stored("r-1", types.HardState(), None, (), with_disk=True)
+    stored = types.StoredState(
+        "r-1", types.HardState(), None, (), with_disk=True
+    )
 
     def __init__(self) -> None:
         self.changes: list[store.Change] = []
@@ -102,7 +104,7 @@
     assert replica.store.changes[-1].hard_state == types.HardState(2, VM2)
 
 
-def test_an_acknowledgement_waits_and_heartbeats_do_not(replica):
+def test_append_replies_wait_for_a_sync_but_heartbeat_replies_do_not(replica):
     fields = {"term": 1, "index": 2, "log_term": 1}
     entry = command_entry(3, 1, "b")
     assert replica.step(Kind.APPEND, entries=(entry,), **fields) == []
@@ -205,7 +207,7 @@
         <= 2
     )
     replica_store.full = False
-    with trio.fail_after(2 * store.RETRY_S):
+    with trio.fail_after(2 * store.DISK_FULL_RETRY_S):
         while not replica.group.writable:  # noqa: ASYNC110
             await trio.sleep(0.01)
     assert [change.entries for change in replica_store.changes][0] == (
--- a/laburnumsill/consensus/tests/test_store_machine.py
+++ b/laburnumsill/consensus/tests/test_store_machine.py
@@ -50,7 +50,7 @@
         super().__init__()
         self.resources = contextlib.ExitStack()
         self.replica_store = None
-        self.durable = types.Stored("", types.HardState(), None, ())
+        self.durable = types.StoredState("", types.HardState(), None, ())
         self.last_index = 0
         self.term = 1
         self.refused = None
@@ -59,7 +59,7 @@
     @stateful.initialize(seed=strategies.integers(0, 2**16))
     def create_disk(self, seed):
         self.rng = random.Random(seed)
-        disk = simulated_disk.simulated()
+        disk = simulated_disk.temporary_disk()
         self.disk = self.resources.enter_context(disk)
         self.open()
 
@@ -184,7 +184,7 @@
             return
         except store.DiskFullError:
             self.refused = changes
-            if len(changes) == 1 and changes[0].may_be_left_out:
+            if len(changes) == 1 and changes[0].can_be_skipped:
                 self.refused = None
                 self.skipped += changes
             return
@@ -201,7 +201,7 @@
             uncertain: Changes that may be stored, in part or as a whole.
         """
         self.replica_store.close()
-        self.disk.restart()
+        self.disk.cancel_kill()
         self.open(uncertain or self.refused)
 
     def kill_during_open(self, calls):
--- a/laburnumsill/consensus/types.py
+++ b/laburnumsill/consensus/types.py
@@ -159,26 +159,26 @@
 
     Attributes:
         hard_state: New term or vote to sync, or None.
-        install: Complete snapshot to store and load, or None.
-        append: Entries to append; an entry at or below the last stored index
+        snapshot: Complete snapshot to store and load, or None.
+        entries: Entries to append; an entry at or below the last stored index
             replaces the entry there and all later ones.
         messages: Messages to send after the fields above are synced.
         committed: Entries to apply, in order.
         reads: Confirmed reads to serve after `committed` is applied.
-        lost_reads: Ids of reads that failed because leadership was lost.
+        failed_reads: Ids of reads that failed because leadership was lost.
     """
 
     hard_state: HardState | None = None
-    install: Snapshot | None = None
-    append: tuple[Entry, ...] = ()
+    snapshot: Snapshot | None = None
+    entries: tuple[Entry, ...] = ()
     messages: tuple[Message, ...] = ()
     committed: tuple[Entry, ...] = ()
     reads: tuple[ConfirmedRead, ...] = ()
-    lost_reads: tuple[int, ...] = ()
+    failed_reads: tuple[int, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Stored:
+class StoredState:
     """Stored state of a replica when its store is opened.
 
     Attributes:
--- a/laburnumsill/core/replication.py
+++ b/laburnumsill/core/replication.py
@@ -167,7 +167,7 @@
         """Returns the current term of this VM's replica, 0 without one."""
 
     @abc.abstractmethod
-    def local(self, group: str) -> StateMachine | None:
+    def local_state_machine(self, group: str) -> StateMachine | None:
         """Returns this VM's replica, which may lag behind, None without one."""
 
 
--- a/laburnumsill/daemon/assembly.py
+++ b/laburnumsill/daemon/assembly.py
@@ -77,7 +77,7 @@
             self._local_vm,
             self._host,
             self._network,
-            self._host.set_make_up,
+            self._host.set_desired_voters,
         )
         self._replacement = replacement.Replacement(
             loaded.vms,
@@ -234,7 +234,7 @@
     async def transfer(self, group: str, vm: str | None) -> None:
         """Transfers a group's leadership, see `api.groups`."""
         deadline = self._clock.monotonic() + TRANSFER_TIMEOUT_S
-        await self._host.transfer(group, vm, deadline)
+        await self._host.transfer_leadership(group, vm, deadline)
 
     async def replace(self, group: str, old: str, new: str) -> None:
         """Replaces a voter of a group, see `api.groups`."""
@@ -255,7 +255,7 @@
         """
         logs.event("shutdown-started")
         await trio.sleep(READINESS_NOTICE_S)
-        await self._host.hand_over()
+        await self._host.transfer_leaderships()
         await self._router.drain(self._clock.monotonic() + DRAIN_TIMEOUT_S)
         self._stop_server.set()
         with trio.move_on_after(SERVER_GRACE_S):
--- a/laburnumsill/daemon/configuration_sharing.py
+++ b/laburnumsill/daemon/configuration_sharing.py
@@ -223,7 +223,7 @@
             self._newest_version = part.version
 
     def _component(self) -> highest_version.HighestVersion:
-        machine = self._groups.local(self._group)
+        machine = self._groups.local_state_machine(self._group)
         if machine is None:
             raise errors.UnavailableError(
                 "this VM has no replica of the site's group"
--- a/laburnumsill/daemon/configuration_sync.py
+++ b/laburnumsill/daemon/configuration_sync.py
@@ -232,7 +232,9 @@
 
     def _is_root_follower(self) -> bool:
         """Returns whether this VM has a root replica and is not the leader."""
-        has_replica = self._groups.local(ids.ROOT_GROUP) is not None
+        has_replica = (
+            self._groups.local_state_machine(ids.ROOT_GROUP) is not None
+        )
         return has_replica and not self._groups.leads(ids.ROOT_GROUP)
 
     def status(self) -> list[configuration_api.VmInForce]:
@@ -340,7 +342,7 @@
 
     def _adopt_replicated(self) -> None:
         """Adopts the newest version in this VM's root replica, if any."""
-        machine = self._groups.local(ids.ROOT_GROUP)
+        machine = self._groups.local_state_machine(ids.ROOT_GROUP)
         if machine is None:
             return
         if machine is not self._observed_machine:
--- a/laburnumsill/daemon/core_role.py
+++ b/laburnumsill/daemon/core_role.py
@@ -148,7 +148,7 @@
 
     async def _shut_down(self) -> None:
         with trio.move_on_after(TRANSFER_TIMEOUT_S):
-            await self._host.hand_over()
+            await self._host.transfer_leaderships()
         await trio.sleep(ANSWER_GRACE_S)
 
     def _make_machine(self, group: str) -> replication.StateMachine:
@@ -170,7 +170,7 @@
                 *self._settings.seed_vms,
             )
         )
-        self._host.set_make_up({role.SITE_GROUP: tuple(vms)})
+        self._host.set_desired_voters({role.SITE_GROUP: tuple(vms)})
 
     async def _run_desired_voters(self) -> None:
         while True:
@@ -189,7 +189,7 @@
 
     def _newest_configuration(self) -> site.SiteConfiguration | None:
         """Returns the newest configuration in this VM's replica."""
-        machine = self._host.local(role.SITE_GROUP)
+        machine = self._host.local_state_machine(role.SITE_GROUP)
         if machine is None:
             return None
         component: highest_version.HighestVersion = machine.component(
--- a/laburnumsill/daemon/make_up_sync.py
+++ b/laburnumsill/daemon/make_up_sync.py
@@ -49,7 +49,7 @@
             [abc.Mapping[str, abc.Sequence[str]]], None
         ],
     ) -> None:
-        self._initial_groups = topology.first_groups(vms)
+        self._initial_groups = topology.initial_voters(vms)
         self._others = [vm.vm_id for vm in vms if vm.vm_id != local_vm.vm_id]
         self._groups = groups
         self._peers = peers
@@ -75,7 +75,7 @@
             await trio.sleep(BROADCAST_INTERVAL_S)
 
     def _broadcast(self) -> None:
-        machine = self._groups.local(ids.ROOT_GROUP)
+        machine = self._groups.local_state_machine(ids.ROOT_GROUP)
         if machine is None:
             return
         self._update(machine.component("make-up").make_up)
--- a/laburnumsill/daemon/tests/test_role_imports.py
+++ b/laburnumsill/daemon/tests/test_role_imports.py
@@ -30,9 +30,9 @@
     "laburnumsill.consensus": {
         "engine_errors",
         "forwarded",
-        "host_forward",
-        "lead_watch",
-        "remote",
+        "leader_forwarder",
+        "leader_tracker",
+        "remote_groups",
     },
     "laburnumsill.state": {"highest_version"},
 }
--- a/laburnumsill/requests/durable.py
+++ b/laburnumsill/requests/durable.py
@@ -98,7 +98,7 @@
                 )
 
     def _scan(self, group: str, nursery: trio.Nursery) -> None:
-        machine = self._groups.local(group)
+        machine = self._groups.local_state_machine(group)
         if machine is None or not self._groups.leads(group):
             self._dispatches.pop(group, None)
             return
--- a/laburnumsill/state/make_up.py
+++ b/laburnumsill/state/make_up.py
@@ -1,7 +1,7 @@
 """Desired membership of the Raft groups: the VMs that are voters of each.
 
 The initial voters follow from the VMs in the settings, see
-`core.topology.first_groups`. The root group records only the groups whose
+`core.topology.initial_voters`. The root group records only the groups whose
 voters have changed since. Each change names the voters it replaces, so that
 of two concurrent changes one is refused.
 """
