--- a/bench/failover.py
+++ b/bench/failover.py
@@ -29,7 +29,7 @@
 
 from bench import sync as sync_bench
 from laburnumsill.consensus import engine as engines
-from laburnumsill.consensus import held_messages
+from laburnumsill.consensus import group as groups
 from laburnumsill.consensus import tick_alignment
 from laburnumsill.consensus import types
 from laburnumsill.daemon import core_role
@@ -193,7 +193,7 @@
                 functools.partial(self._synced, vm, last.index, last.term),
             )
         for message in output.messages:
-            early = message.kind in held_messages.UNSYNCED_KINDS
+            early = message.kind in groups.UNSYNCED_KINDS
             promised = early and not output.hard_state
             self._send(message, self.now if promised else synced_at)
 
