--- a/laburnumsill/api/accounts.py
+++ b/laburnumsill/api/accounts.py
@@ -1,4 +1,4 @@
-"""The HTTP calls for client accounts: what is owed, in use and borrowed."""
+"""HTTP endpoints for client accounts: guarantees, use and borrowed slots."""
 
 import trio
 from starlette import requests
@@ -15,9 +15,9 @@
 from laburnumsill.state import jobs_messages
 
 QUERY_TIMEOUT_S = 2.0
-"""Time that a domain has to answer, in seconds."""
+"""Timeout of the usage queries to all failure domains."""
 
-Uses = dict[str, jobs_messages.DomainUse | None]
+DomainUses = dict[str, jobs_messages.DomainUse | None]
 
 
 def routes(
@@ -29,12 +29,12 @@
 
     async def list_accounts(request: requests.Request) -> responses.Response:
         configuration = _configuration(current)
-        uses = await _uses(groups, configuration, clock)
-        found = [
+        uses = await _query_uses(groups, configuration, clock)
+        documents = [
             _document(name, account, uses)
             for name, account in sorted(configuration.accounts.items())
         ]
-        return problems.json_response({"accounts": found})
+        return problems.json_response({"accounts": documents})
 
     async def get(request: requests.Request) -> responses.Response:
         configuration = _configuration(current)
@@ -42,7 +42,7 @@
         account = configuration.accounts.get(name)
         if account is None:
             raise errors.UnknownNameError(f"no account {name!r}")
-        uses = await _uses(groups, configuration, clock)
+        uses = await _query_uses(groups, configuration, clock)
         return problems.json_response(_document(name, account, uses))
 
     return [
@@ -58,16 +58,16 @@
     return configuration
 
 
-async def _uses(
+async def _query_uses(
     groups: replication.Groups,
     configuration: models.Configuration,
     clock: clocks.Clock,
-) -> Uses:
-    """Returns what each domain says is in use, None where it is silent."""
-    uses: Uses = {}
+) -> DomainUses:
+    """Queries the usage of each domain; None for one that is unavailable."""
+    uses: DomainUses = {}
     deadline = clock.monotonic() + QUERY_TIMEOUT_S
 
-    async def ask(domain: str) -> None:
+    async def query_domain(domain: str) -> None:
         uses[domain] = None
         try:
             uses[domain] = await groups.query(
@@ -78,12 +78,12 @@
 
     async with trio.open_nursery() as nursery:
         for domain in configuration.domains:
-            nursery.start_soon(ask, domain)
+            nursery.start_soon(query_domain, domain)
     return uses
 
 
 def _document(
-    name: str, account: models.Account, uses: Uses
+    name: str, account: models.Account, uses: DomainUses
 ) -> dict[str, object]:
     """Returns an account with its guarantee and use in each domain."""
     domains: dict[str, object] = {}
@@ -91,8 +91,8 @@
         shape = account.guarantee.get(domain, models.Shape())
         entry: dict[str, object] = {"guarantee": shape.model_dump()}
         if use is not None:
-            own = use.accounts.get(name, jobs_messages.AccountUse())
-            entry["use"] = own
+            account_use = use.accounts.get(name, jobs_messages.AccountUse())
+            entry["use"] = account_use
             entry["shortfall"] = use.shortfall
         domains[domain] = entry
     return {
--- a/laburnumsill/api/application.py
+++ b/laburnumsill/api/application.py
@@ -1,7 +1,7 @@
 """The ASGI application of one daemon.
 
-Requests to services take a short way past the router, because they are by
-far the most; everything else is routed by starlette.
+Requests to services bypass starlette's router, because they are by far the
+most frequent. All other paths are routed by starlette.
 """
 
 import typing
@@ -21,7 +21,7 @@
 
 
 class MethodNotAllowedError(errors.InvalidInputError):
-    """A known path with a method that it does not take."""
+    """The path exists but does not support the method."""
 
     slug = "method-not-allowed"
     status = 405
@@ -29,13 +29,18 @@
 
 
 class Application:
-    """Dispatches HTTP exchanges to the service path or to the routes."""
+    """Dispatches requests to the application for services or to the routes.
+
+    Args:
+        services: The application for paths below `SERVICES_PREFIX`.
+        routes: The routes of all other paths.
+    """
 
     def __init__(
         self, services: types.ASGIApp, routes: abc.Sequence[routing.BaseRoute]
     ) -> None:
         self._services = services
-        self._others = applications.Starlette(
+        self._router = applications.Starlette(
             routes=routes,
             exception_handlers={exceptions.HTTPException: _http_problem},
         )
@@ -51,7 +56,7 @@
         elif scope["path"].startswith(SERVICES_PREFIX):
             await self._services(scope, receive, send)
         else:
-            await self._others(scope, receive, send)
+            await self._router(scope, receive, send)
 
 
 async def _lifespan(receive: types.Receive, send: types.Send) -> None:
--- a/laburnumsill/api/configuration.py
+++ b/laburnumsill/api/configuration.py
@@ -1,4 +1,4 @@
-"""Operators' calls for the configuration: push, read, and in force where."""
+"""HTTP endpoints for the configuration: push, read, status of each VM."""
 
 import abc
 import dataclasses
@@ -26,25 +26,25 @@
 from laburnumsill.state import configuration_versions
 
 CALL_TIMEOUT_S = 8.0
-"""Time that a push or a read has."""
+"""Timeout of a push or a read."""
 
 STATUS_TIMEOUT_S = 2.0
-"""Time that a quorum has to tell the accepted version to a status."""
+"""Timeout of the query for the accepted version in a status request."""
 
-RETRY_S = 0.1
-"""Pause before a push is proposed again."""
+RETRY_INTERVAL_S = 0.1
+"""Interval between proposals of the same push."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmInForce:
-    """What a VM last said is in force there.
+    """The version in force on a VM, from the last notice of the VM.
 
     Attributes:
         vm: The VM.
         domain: Its failure domain.
-        reachable: Whether it was heard from within a second.
-        version: The version, 0 if it said none.
-        digest: The version's digest.
+        reachable: Whether the last contact is at most one second old.
+        version: The version in force, 0 if the VM sent no notice.
+        digest: The digest of the version.
     """
 
     vm: str
@@ -55,27 +55,27 @@
 
 
 class InForce(abc.ABC):
-    """What brings accepted versions into force on this VM."""
+    """Puts accepted versions in force on this VM, and tracks other VMs."""
 
     @abc.abstractmethod
     def offer(
         self, accepted: configuration_versions.AcceptedConfiguration
     ) -> None:
-        """Puts an accepted version in force unless a newer one is."""
+        """Puts an accepted version in force unless a newer one already is."""
 
     def kept(
         self, version: int
     ) -> configuration_versions.AcceptedConfiguration | None:
-        """Returns an accepted version if it is at hand on this VM."""
+        """Returns an accepted version if this VM has a copy, else None."""
         return None
 
     async def refresh(self) -> None:
-        """Asks VMs for the version in force there before a status."""
+        """Queries the VMs for their version in force, before `status`."""
         await trio.lowlevel.checkpoint()
 
     @abc.abstractmethod
     def status(self) -> list[VmInForce]:
-        """Returns what each VM last said is in force there."""
+        """Returns the last known version in force on each VM."""
 
 
 class UnknownDomainsError(errors.InvalidConfigurationError):
@@ -86,10 +86,11 @@
 
 
 class DomainsChangedError(errors.InvalidConfigurationError):
-    """A configuration has other failure domains than the one before.
+    """A configuration has other failure domains than the previous version.
 
-    The home of a key is a hash over them; with another set a request that
-    must run at most once could find another home and run again.
+    The home domain of a key is selected by a hash over the set of domains.
+    With another set, a request that must run at most once could get another
+    home domain and run again.
     """
 
     slug = "domains-changed"
@@ -97,7 +98,14 @@
 
 
 class Push(pydantic.BaseModel):
-    """The body of a push."""
+    """The body of a push.
+
+    Attributes:
+        expected_version: The version that the configuration is based on, 0
+            for the first.
+        configuration: The values of the configuration.
+        operator: The name of the operator who pushes.
+    """
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True)
 
@@ -117,10 +125,10 @@
     Args:
         groups: Access to the root group.
         current: The version in force on this VM.
-        sync: What brings accepted versions into force on this VM.
+        sync: Puts accepted versions in force on this VM.
         clock: The clock.
     """
-    calls = _Calls(groups, current, sync, clock)
+    calls = _Endpoints(groups, current, sync, clock)
     return [
         routing.Route(
             "/v1/config", problems.guarded(calls.push), methods=["PUT"]
@@ -130,7 +138,7 @@
     ]
 
 
-class _Calls:
+class _Endpoints:
     """The endpoints."""
 
     def __init__(
@@ -146,16 +154,16 @@
         self._clock = clock
 
     async def push(self, request: requests.Request) -> responses.Response:
-        """Pushes a version; a resend with the same key gets one answer."""
-        sent = await problems.read_model(request, Push)
-        pushed = canonical.from_values(sent.configuration)
+        """Pushes a version; a resend with the same key gets the same answer."""
+        push_body = await problems.read_model(request, Push)
+        pushed = canonical.from_values(push_body.configuration)
         policy_names.check(pushed)
         self._check_domains_known(pushed)
-        before = await self._version(sent.expected_version)
-        self._check_domains_stay(pushed, before)
+        previous = await self._accepted(push_body.expected_version)
+        self._check_domains_unchanged(pushed, previous)
         key = request.headers.get("Idempotency-Key")
-        command = self._command(sent, pushed, key)
-        change = _difference(before, command)
+        command = self._command(push_body, pushed, key)
+        change = _difference(previous, command)
         accepted = await self._propose(command, change)
         self._sync.offer(
             configuration_versions.AcceptedConfiguration(
@@ -177,22 +185,24 @@
 
     async def read(self, request: requests.Request) -> responses.Response:
         """Returns the accepted version, an older one, or the one in force."""
-        wanted = request.query_params
-        if "version" in wanted:
-            query = configuration.ReadVersion(_number(wanted["version"]))
+        parameters = request.query_params
+        if "version" in parameters:
+            query = configuration.ReadVersion(
+                _parse_version(parameters["version"])
+            )
             accepted = await self._query(query, CALL_TIMEOUT_S)
-            return _whole(accepted)
-        if wanted.get("source", "accepted") == "in-force":
-            return self._in_force()
+            return _accepted_response(accepted)
+        if parameters.get("source", "accepted") == "in-force":
+            return self._in_force_response()
         answer: configuration.CurrentAnswer = await self._query(
             configuration.ReadCurrent(), CALL_TIMEOUT_S
         )
         if answer.accepted is None:
             raise errors.NotFoundError("no configuration was accepted yet")
-        return _whole(answer.accepted)
+        return _accepted_response(answer.accepted)
 
     async def status(self, request: requests.Request) -> responses.Response:
-        """Returns which version is in force on each VM."""
+        """Returns the version in force on each VM."""
         await self._sync.refresh()
         vms = self._sync.status()
         accepted = await self._accepted_version()
@@ -210,7 +220,7 @@
         )
 
     async def _accepted_version(self) -> int | None:
-        """Returns what a quorum says is accepted, None without a quorum."""
+        """Returns the newest accepted version, None without a quorum."""
         try:
             answer: configuration.NewestAnswer = await self._query(
                 configuration.ReadNewest(), STATUS_TIMEOUT_S
@@ -223,7 +233,7 @@
         deadline = self._clock.monotonic() + timeout_s
         return await self._groups.query(ids.ROOT_GROUP, query, deadline)
 
-    def _in_force(self) -> responses.Response:
+    def _in_force_response(self) -> responses.Response:
         versioned = self._current.versioned()
         if versioned is None:
             raise errors.NotFoundError("no configuration is in force yet")
@@ -238,25 +248,27 @@
         )
 
     def _command(
-        self, sent: Push, pushed: models.Configuration, key: str | None
+        self, push_body: Push, pushed: models.Configuration, key: str | None
     ) -> configuration.PushConfiguration:
         body = canonical.encode(pushed)
         digest = canonical.digest(body)
-        derived = f"{sent.expected_version}/{digest}/{sent.operator}"
+        derived_key = (
+            f"{push_body.expected_version}/{digest}/{push_body.operator}"
+        )
         return configuration.PushConfiguration(
-            key or derived,
-            sent.expected_version,
+            key or derived_key,
+            push_body.expected_version,
             digest,
             body,
             self._clock.wall(),
-            sent.operator,
+            push_body.operator,
         )
 
     def _check_domains_known(self, pushed: models.Configuration) -> None:
-        """Checks the failure domains against the VMs.
+        """Checks that each failure domain has a VM.
 
         Raises:
-            UnknownDomainsError: One has no VM, so no group either.
+            UnknownDomainsError: A domain has no VM, and so no replica group.
         """
         known = {vm.domain for vm in self._sync.status()}
         unknown = sorted(set(pushed.domains) - known)
@@ -268,24 +280,24 @@
                 value=unknown[0],
             )
 
-    def _check_domains_stay(
+    def _check_domains_unchanged(
         self,
         pushed: models.Configuration,
-        before: configuration_versions.AcceptedConfiguration | None,
+        previous: configuration_versions.AcceptedConfiguration | None,
     ) -> None:
-        """Checks the failure domains against those of the version before.
+        """Checks that the previous version has the same failure domains.
 
         Raises:
-            DomainsChangedError: They are not the same.
+            DomainsChangedError: The sets of domains differ.
         """
-        if before is None:
+        if previous is None:
             return
-        domains = self._domains_of(before)
+        domains = self._domains_of(previous)
         if domains != set(pushed.domains):
             raise DomainsChangedError(
                 f"domains: got {', '.join(sorted(pushed.domains))}, expected"
                 f" {', '.join(sorted(domains))} as in version"
-                f" {before.version}",
+                f" {previous.version}",
                 key="domains",
             )
 
@@ -297,19 +309,19 @@
             return set(versioned.configuration.domains)
         return set(canonical.decode(accepted.body).domains)
 
-    async def _version(
+    async def _accepted(
         self, version: int
     ) -> configuration_versions.AcceptedConfiguration | None:
-        """Returns a version, None if it is not kept.
+        """Returns an accepted version, None if it is not stored.
 
-        One that is not kept is not the newest, so the push is refused later
-        or was accepted before.
+        A version that is not stored is not the newest one. A push based on it
+        is either refused by the root group or was accepted before.
         """
         if not version:
             return None
-        kept = self._sync.kept(version)
-        if kept is not None:
-            return kept
+        local = self._sync.kept(version)
+        if local is not None:
+            return local
         try:
             accepted: configuration_versions.AcceptedConfiguration = (
                 await self._query(
@@ -325,16 +337,19 @@
         command: configuration.PushConfiguration,
         change: difference.Difference | None,
     ) -> configuration.PushAccepted:
-        """Proposes a push as a difference, and whole if that does not fit.
+        """Proposes a push as a difference.
+
+        Proposes the complete body instead if there is no difference, or if
+        the group cannot apply it.
 
         Raises:
-            errors.ProposalLostError: It may have been accepted.
-            errors.UnavailableError: It was certainly not accepted.
+            errors.ProposalLostError: The push may have been accepted.
+            errors.UnavailableError: The push was not accepted.
         """
         deadline = self._clock.monotonic() + CALL_TIMEOUT_S
         if change is not None:
             try:
-                return await self._propose_until(
+                return await self._propose_with_retries(
                     configuration.PushDifference(
                         command.push_id,
                         command.expected_version,
@@ -352,12 +367,15 @@
                     expected_version=command.expected_version,
                     error=error.detail,
                 )
-        return await self._propose_until(command, deadline)
+        return await self._propose_with_retries(command, deadline)
 
-    async def _propose_until(
+    async def _propose_with_retries(
         self, command: configuration.Push, deadline: float
     ) -> configuration.PushAccepted:
-        """Proposes until an answer or the deadline; a resend is harmless."""
+        """Proposes a push until it is answered or the deadline passes.
+
+        The push id makes the retries idempotent.
+        """
         lost: errors.ProposalLostError | None = None
         while True:
             try:
@@ -369,32 +387,32 @@
                 last: errors.LaburnumsillError = error
             except errors.UnavailableError as error:
                 last = lost or error
-            if self._clock.monotonic() + RETRY_S >= deadline:
+            if self._clock.monotonic() + RETRY_INTERVAL_S >= deadline:
                 raise last
-            await trio.sleep(RETRY_S)
+            await trio.sleep(RETRY_INTERVAL_S)
 
 
 def _difference(
-    before: configuration_versions.AcceptedConfiguration | None,
+    previous: configuration_versions.AcceptedConfiguration | None,
     command: configuration.PushConfiguration,
 ) -> difference.Difference | None:
-    """Returns what makes a pushed body of the one before.
+    """Returns the difference between the previous body and the pushed one.
 
     Returns:
-        None if the whole body is to be proposed: the version before is not
-        at hand, the difference is no smaller, or the body is too large and
-        is to be refused for that.
+        None if the complete body has to be proposed: the previous version is
+        unavailable, the difference is not smaller, or the body is too large,
+        which the root group refuses.
     """
     too_large = len(command.body) > configuration.MAX_BODY_BYTES
-    if before is None or too_large:
+    if previous is None or too_large:
         return None
-    found = difference.difference(before.body, command.body)
-    if found is None or found.size >= len(command.body):
+    change = difference.difference(previous.body, command.body)
+    if change is None or change.size >= len(command.body):
         return None
-    return found
+    return change
 
 
-def _number(text: str) -> int:
+def _parse_version(text: str) -> int:
     try:
         return int(text)
     except ValueError as error:
@@ -403,7 +421,7 @@
         ) from error
 
 
-def _whole(
+def _accepted_response(
     accepted: configuration_versions.AcceptedConfiguration,
 ) -> responses.Response:
     return problems.json_response(
--- a/laburnumsill/api/groups.py
+++ b/laburnumsill/api/groups.py
@@ -1,4 +1,4 @@
-"""The replica groups: their replicas, leaders and the change of VMs."""
+"""HTTP endpoints for replica groups: status, transfer and replacement."""
 
 import dataclasses
 import typing
@@ -13,20 +13,24 @@
 
 
 class GroupOperations(typing.Protocol):
-    """What the routes need of the daemon."""
+    """Operations on replica groups that the daemon provides."""
 
     def status(self) -> abc.Sequence[typing.Any]:
-        """Returns a data class for each replica on this VM."""
+        """Returns the status of each replica on this VM, as data classes."""
 
     async def transfer(self, group: str, vm: str | None) -> None:
-        """Hands a group's lead over."""
+        """Transfers a group's leadership to `vm`, or to any VM if None."""
 
     async def replace(self, group: str, old: str, new: str) -> None:
-        """Replaces a voter of a group."""
+        """Replaces the voter `old` of a group by the VM `new`."""
 
 
 class Transfer(pydantic.BaseModel):
-    """The body of a transfer: the VM that is to lead, or any."""
+    """The body of a leadership transfer.
+
+    Attributes:
+        to: The VM that becomes leader, or None for any.
+    """
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
@@ -34,7 +38,12 @@
 
 
 class Replace(pydantic.BaseModel):
-    """The body of a replacement."""
+    """The body of a voter replacement.
+
+    Attributes:
+        old: The voter that is removed.
+        new: The VM that replaces it.
+    """
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
--- a/laburnumsill/api/jobs.py
+++ b/laburnumsill/api/jobs.py
@@ -1,4 +1,4 @@
-"""The HTTP calls for jobs."""
+"""HTTP endpoints for jobs: submit, list, read, cancel."""
 
 import typing
 
@@ -16,19 +16,19 @@
 KEY_HEADER = "Idempotency-Key"
 MAX_KEY_LENGTH = 255
 SUBMIT_TIMEOUT_S = 10.0
-"""Time that taking a job in may last, in seconds."""
+"""Timeout for accepting a submitted job."""
 
 MAX_LISTED = 1_000
 MAX_COMMAND_LENGTH = 4_096
 
 
 class JobBody(pydantic.BaseModel):
-    """A job as it is submitted; sizes are for each task.
+    """The body of a job submission; resources are per task.
 
     Attributes:
-        estimated_run_s: The expected run time in seconds; it orders a queue
-            at most.
-        run_s: Passed to the workers.
+        estimated_run_s: The expected run time in seconds, used at most to
+            order a queue.
+        run_s: The run time in seconds, passed to the workers.
     """
 
     model_config = pydantic.ConfigDict(extra="forbid")
@@ -46,12 +46,12 @@
     command: str = pydantic.Field(default="", max_length=MAX_COMMAND_LENGTH)
 
     def spec(self) -> jobs_messages.JobSpec:
-        """Returns the job as the rest of the system knows it."""
+        """Returns the job specification for the scheduler."""
         return jobs_messages.JobSpec(**self.model_dump())
 
 
 class ListParameters(pydantic.BaseModel):
-    """The query of a listing."""
+    """The query parameters of a job listing."""
 
     model_config = pydantic.ConfigDict(extra="forbid")
 
@@ -96,8 +96,8 @@
 
     async def cancel(request: requests.Request) -> responses.Response:
         view = await service.cancel(request.path_params["job_id"])
-        stopping = view.state == jobs_messages.JobState.CANCELLING
-        return problems.json_response(view, 202 if stopping else 200)
+        cancelling = view.state == jobs_messages.JobState.CANCELLING
+        return problems.json_response(view, 202 if cancelling else 200)
 
     return [
         routing.Route("/v1/jobs", problems.guarded(submit), methods=["POST"]),
--- a/laburnumsill/api/members.py
+++ b/laburnumsill/api/members.py
@@ -1,4 +1,4 @@
-"""Calls of backend servers and workers, and lists of them for operators.
+"""HTTP endpoints for backend servers and workers, and lists for operators.
 
 ``POST /v1/backend-servers`` announces a backend server, at first and again
 as a heartbeat. Body::
@@ -16,28 +16,28 @@
      "sequence": 17, "cores": 128, "memory_gb": 512, "accelerators": 8,
      "leaving": false}
 
-Incarnations of one member are compared as strings and have to grow with each
-start of its process: take the start time in a fixed width. The sequence grows
-with each announcement, also with a repeated attempt. The answer to both is
-200::
+Incarnations of one member are compared as strings and must increase with each
+start of its process: use the start time, padded to a fixed width. The sequence
+must increase with each announcement, including retries. The answer to both
+calls is 200::
 
     {"accepted": true, "next_announce_at": 1780000000.35}
 
-``next_announce_at`` is wall time in seconds; ``accepted`` is false if a later
-announcement is known already. A member that gets 503 or no answer announces
-through the next VM. Problems: 400 ``malformed-json``, 404
+``next_announce_at`` is wall time in seconds; ``accepted`` is false if the VM
+already has a later announcement. A member that gets 503 or no answer sends the
+announcement to the next VM. Problems: 400 ``malformed-json``, 404
 ``unknown-service`` or ``unknown-domain``, 409 ``stale-incarnation`` (with
 ``incarnation``, the later one), 503 ``domain-unreachable`` or
 ``member-table-full``.
 
 ``DELETE /v1/backend-servers/{id}?service=...&incarnation=...`` and ``DELETE
-/v1/workers/{id}?incarnation=...`` say that the member is gone. 200
-``{"left": true}``, also when repeated; 400 ``invalid-input`` without the
-parameters; 404 ``unknown-member``: this VM does not know it, try another;
-409 ``stale-incarnation``; 503 ``domain-unreachable``. A member that wants no
-new work first announces ``"leaving": true``, ends what it runs, then leaves.
+/v1/workers/{id}?incarnation=...`` remove the member. 200 ``{"left": true}``,
+also when repeated; 400 ``invalid-input`` without the parameters; 404
+``unknown-member``: this VM does not know the member, retry with another VM;
+409 ``stale-incarnation``; 503 ``domain-unreachable``. To drain, a member first
+announces ``"leaving": true``, finishes its running work, then calls DELETE.
 
-``POST /v1/workers/{id}/usage`` reports the use of tasks. Body::
+``POST /v1/workers/{id}/usage`` reports the resource usage of tasks. Body::
 
     {"incarnation": "00001780000000000000", "measured_at": 1780000000.0,
      "tasks": [{"task_id": "t1", "job_id": "north.5f", "epoch": 4,
@@ -46,9 +46,10 @@
 
 202 ``{"accepted": true}``.
 
-``GET /v1/backend-servers`` and ``GET /v1/workers`` list what this VM knows:
-``{"backend_servers": [...]}`` and ``{"workers": [...]}``, each with the fields
-of its announcement and ``usable``, whether it may get work from this VM now.
+``GET /v1/backend-servers`` and ``GET /v1/workers`` list the members in this
+VM's member table: ``{"backend_servers": [...]}`` and ``{"workers": [...]}``.
+Each has the fields of its announcement and ``usable``: whether this VM may
+assign work to it at the moment.
 """
 
 import dataclasses
@@ -74,7 +75,10 @@
 
 
 def _checked_address(address: str) -> str:
-    """Refuses what is no IP number with a port, since none can connect."""
+    """Returns an address unchanged if it is an IP address with a port.
+
+    Other addresses are refused, because no VM could connect to them.
+    """
     host, _, port = address.rpartition(":")
     ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
     if not 1 <= int(port) <= MAX_PORT:
@@ -97,16 +101,16 @@
 ]
 
 MAX_TASKS = 10_000
-"""Tasks in one usage report."""
+"""Largest number of tasks in one usage report."""
 
 
-class Border(pydantic.BaseModel):
-    """Base of the models: unknown fields and lax types are refused."""
+class StrictModel(pydantic.BaseModel):
+    """Base of the bodies: refuses unknown fields and converts no types."""
 
     model_config = pydantic.ConfigDict(extra="forbid", strict=True)
 
 
-class ServerAnnouncement(Border):
+class ServerAnnouncement(StrictModel):
     """The body of an announcement of a backend server."""
 
     server_id: Identifier
@@ -121,7 +125,7 @@
     leaving: bool = False
 
 
-class WorkerAnnouncement(Border):
+class WorkerAnnouncement(StrictModel):
     """The body of an announcement of a worker."""
 
     worker_id: Identifier
@@ -136,8 +140,8 @@
     leaving: bool = False
 
 
-class TaskUsage(Border):
-    """The use of one task in a report."""
+class TaskUsage(StrictModel):
+    """The resource usage of one task in a report."""
 
     task_id: typing.Annotated[str, pydantic.Field(max_length=255)]
     job_id: typing.Annotated[str, pydantic.Field(max_length=255)]
@@ -148,7 +152,7 @@
     accelerators: Load
 
 
-class UsageReport(Border):
+class UsageReport(StrictModel):
     """The body of a usage report."""
 
     incarnation: Identifier
@@ -166,9 +170,9 @@
 
     Args:
         table: The member table of this VM.
-        usage: Takes the workers' usage reports, or None to drop them.
+        usage: Handles the workers' usage reports; None drops them.
     """
-    calls = _Calls(table, usage)
+    calls = _Endpoints(table, usage)
     paths: list[tuple[str, str, problems.Endpoint]] = [
         ("POST", "/v1/backend-servers", calls.announce_server),
         ("GET", "/v1/backend-servers", calls.list_servers),
@@ -184,7 +188,7 @@
     ]
 
 
-class _Calls:
+class _Endpoints:
     """The endpoints."""
 
     def __init__(
@@ -249,13 +253,15 @@
         self, request: requests.Request
     ) -> responses.Response:
         return problems.json_response(
-            {"backend_servers": self._known(entries.SERVER)}
+            {"backend_servers": self._list_members(entries.SERVER)}
         )
 
     async def list_workers(
         self, request: requests.Request
     ) -> responses.Response:
-        return problems.json_response({"workers": self._known(entries.WORKER)})
+        return problems.json_response(
+            {"workers": self._list_members(entries.WORKER)}
+        )
 
     async def _leave(
         self, request: requests.Request, kind: str, member_id: str
@@ -264,7 +270,7 @@
         await self._table.leave(kind, member_id, incarnation)
         return problems.json_response({"left": True})
 
-    def _known(self, kind: str) -> list[dict[str, object]]:
+    def _list_members(self, kind: str) -> list[dict[str, object]]:
         found = sorted(
             self._table.known(kind),
             key=lambda known: entries.member_id(known.member),
@@ -276,7 +282,7 @@
 
 
 def _parameter(request: requests.Request, name: str) -> str:
-    """Returns a query parameter that has to be an identifier."""
+    """Returns a query parameter, validated as an identifier."""
     value = request.query_params.get(name, "")
     try:
         return _IDENTIFIER.validate_python(value)
--- a/laburnumsill/api/operations.py
+++ b/laburnumsill/api/operations.py
@@ -1,4 +1,4 @@
-"""Liveness, readiness and metrics of one daemon."""
+"""HTTP endpoints for liveness, readiness and metrics of one daemon."""
 
 from collections import abc
 
@@ -12,7 +12,7 @@
 
 
 class NotReadyError(errors.UnavailableError):
-    """This VM does not take new work now."""
+    """This VM does not accept new work at the moment."""
 
     slug = "not-ready"
     title = "Not ready"
@@ -28,7 +28,8 @@
     Args:
         vm_id: The id of this VM.
         registry: The metrics to render.
-        not_ready_because: Returns why this VM takes no new work, or None.
+        not_ready_because: Returns the reason why this VM accepts no new
+            work, or None if it is ready.
     """
 
     async def healthz(request: requests.Request) -> responses.Response:
--- a/laburnumsill/api/policy_names.py
+++ b/laburnumsill/api/policy_names.py
@@ -1,8 +1,8 @@
-"""Checks that the policies which a configuration names exist.
+"""Validation of the policy names in a configuration.
 
-The models know the shape of a configuration; which policies there are is
-known further up. A name without a policy must not be accepted: every VM
-would then fail each request.
+The configuration models cannot check these names, because the policies are
+defined in a higher layer. A name without a policy must not be accepted: every
+VM would fail each request.
 """
 
 from collections import abc
@@ -14,7 +14,7 @@
 
 
 class UnknownPolicyError(errors.InvalidConfigurationError):
-    """A configuration names a policy that this program lacks."""
+    """A configuration names a policy that does not exist."""
 
     slug = "unknown-policy"
     title = "No such policy"
@@ -24,8 +24,8 @@
     """Checks the names of all policies.
 
     Raises:
-        UnknownPolicyError: A name has no policy; the context has key, value
-            and what was expected.
+        UnknownPolicyError: A name has no policy; the context holds the key,
+            its value and the expected names.
     """
     requests = configuration.requests
     _check_name("requests.chooser", requests.chooser, choose.CHOOSERS)
--- a/laburnumsill/api/problems.py
+++ b/laburnumsill/api/problems.py
@@ -1,4 +1,4 @@
-"""Errors as ``application/problem+json`` and checked JSON bodies.
+"""Problem responses (``application/problem+json``) and validated JSON bodies.
 
 References:
     RFC 9457, Problem Details for HTTP APIs.
@@ -20,24 +20,24 @@
 TYPE_PREFIX = "https://laburnumsill.invalid/problems/"
 MEDIA_TYPE = "application/problem+json"
 MAX_OPERATOR_BODY_BYTES = 4 * 1024 * 1024
-"""Largest JSON body of an operator's or member's call."""
+"""Largest JSON body of a request by an operator or a member."""
 
 BODY_TIMEOUT_S = 10.0
-"""Longest time for the body of an operator's or member's call to arrive."""
+"""Timeout for receiving the body of a request by an operator or a member."""
 
 ModelT = typing.TypeVar("ModelT", bound=pydantic.BaseModel)
 Endpoint = abc.Callable[[requests.Request], abc.Awaitable[responses.Response]]
 
 
 class MalformedJsonError(errors.InvalidInputError):
-    """A body that is no JSON, or not what the call takes."""
+    """The body is not valid JSON, or does not match the endpoint's model."""
 
     slug = "malformed-json"
     title = "Malformed JSON"
 
 
 def problem(error: errors.LaburnumsillError) -> responses.Response:
-    """Returns the response that tells a caller of `error`."""
+    """Returns the problem response for `error`."""
     body = {
         "type": TYPE_PREFIX + error.slug,
         "title": error.title,
@@ -56,7 +56,7 @@
 def json_response(
     body: object, status: int = 200, headers: dict[str, str] | None = None
 ) -> responses.Response:
-    """Returns `body`, of plain values or data classes, as JSON."""
+    """Returns a JSON response; `body` has plain values or data classes."""
     raw = orjson.dumps(body, option=orjson.OPT_APPEND_NEWLINE)
     return responses.Response(raw, status, headers, "application/json")
 
@@ -66,7 +66,8 @@
 
     Raises:
         errors.TooLargeError: The body is longer than `limit` bytes.
-        errors.DeadlinePassedError: It took longer than `BODY_TIMEOUT_S`.
+        errors.DeadlinePassedError: The body did not arrive within
+            `BODY_TIMEOUT_S`.
     """
     body = bytearray()
     with trio.move_on_after(BODY_TIMEOUT_S):
@@ -82,30 +83,31 @@
     """Returns the JSON body of a request as a validated model.
 
     Raises:
-        MalformedJsonError: The body is no JSON or does not validate.
+        MalformedJsonError: The body is not valid JSON or does not match
+            `model`.
     """
     raw = await read_body(request, MAX_OPERATOR_BODY_BYTES)
     try:
         return model.model_validate_json(raw)
     except pydantic.ValidationError as error:
         first = error.errors()[0]
-        place = ".".join(str(part) for part in first["loc"]) or "body"
+        location = ".".join(str(part) for part in first["loc"]) or "body"
         raise MalformedJsonError(
-            f"{place}: {first['msg']}, got {str(first['input'])[:80]!r}"
+            f"{location}: {first['msg']}, got {str(first['input'])[:80]!r}"
         ) from error
 
 
 def guarded(endpoint: Endpoint) -> Endpoint:
-    """Wraps an endpoint so that each failure becomes a problem response."""
+    """Wraps an endpoint so that each error becomes a problem response."""
 
-    async def call(request: requests.Request) -> responses.Response:
+    async def call_endpoint(request: requests.Request) -> responses.Response:
         try:
             return await endpoint(request)
         except errors.LaburnumsillError as error:
             return problem(error)
         except requests.ClientDisconnect:
             raise
-        except Exception as error:  # the border: nothing leaks to a caller
+        except Exception as error:  # callers get no internal details
             logs.event(
                 "endpoint-failed",
                 level="ERROR",
@@ -114,4 +116,4 @@
             )
             return problem(errors.LaburnumsillError("unexpected failure"))
 
-    return call
+    return call_endpoint
--- a/laburnumsill/api/services.py
+++ b/laburnumsill/api/services.py
@@ -1,8 +1,8 @@
-"""Callers' requests to services, and what became of a key.
+"""HTTP endpoints for requests to services and for the state of a key.
 
-`ServicesApp` is plain ASGI, because answers are streamed and one that was
-cut must never look complete: the app then returns without its last message,
-upon which the server closes the caller's connection.
+`ServicesApp` is a plain ASGI application, because answers are streamed and a
+truncated answer must never look complete: the application then returns without
+its last message, and the HTTP server closes the caller's connection.
 """
 
 import typing
@@ -26,16 +26,16 @@
 
 PREFIX = b"/v1/services/"
 MAX_HEADER_BYTES = 16 * 1024
-"""Names and values of all headers of a request."""
+"""Total size of the names and values of all headers of a request."""
 
-MAX_UNREAD_BYTES = 4 * 1024 * 1024
-UNREAD_S = 1.0
-"""What is read of a refused request's body, in bytes and seconds, before its
-answer: a connection that is closed on unread bytes is reset, and the caller
-may lose the answer."""
+MAX_DISCARDED_BYTES = 4 * 1024 * 1024
+DISCARD_TIMEOUT_S = 1.0
+"""Limits for reading and discarding the body of a refused request before the
+answer is sent. A connection that is closed with unread bytes is reset, and the
+caller may lose the answer."""
 
-REFUSED_BODY_S = 5.0
-"""Time in which the rest of a refused body is thrown away."""
+REFUSED_BODY_TIMEOUT_S = 5.0
+"""Timeout for discarding the rest of a refused body after the answer."""
 
 Scope = abc.MutableMapping[str, typing.Any]
 Receive = abc.Callable[[], abc.Awaitable[abc.MutableMapping[str, typing.Any]]]
@@ -43,7 +43,7 @@
 
 
 class HeadersTooLargeError(errors.InvalidInputError):
-    """The headers of a request are over their limit."""
+    """The headers of a request are over `MAX_HEADER_BYTES`."""
 
     slug = "headers-too-large"
     status = 431
@@ -51,10 +51,10 @@
 
 
 class ServicesApp:
-    """ANY ``/v1/services/{service}/{path}``.
+    """The endpoint ``/v1/services/{service}/{path}``, for all methods.
 
     Args:
-        router: Takes requests to backend servers.
+        router: Routes requests to backend servers.
         clock: The process's clock.
     """
 
@@ -71,22 +71,24 @@
         caller = _Caller(receive, send, scope["method"] == "HEAD")
         request_id = ids.fresh("req")
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(caller.watch, nursery.cancel_scope)
+            nursery.start_soon(caller.watch_disconnect, nursery.cancel_scope)
             await self._serve(scope, caller, request_id)
             if not caller.body_refused:
                 nursery.cancel_scope.cancel()
-            nursery.cancel_scope.deadline = trio.current_time() + REFUSED_BODY_S
+            nursery.cancel_scope.deadline = (
+                trio.current_time() + REFUSED_BODY_TIMEOUT_S
+            )
 
     async def _serve(
         self, scope: Scope, caller: "_Caller", request_id: str
     ) -> None:
         try:
-            head = _head(scope, request_id, self._clock.monotonic())
+            head = _request_head(scope, request_id, self._clock.monotonic())
             answer = await self._router.route(head, caller.body())
         except errors.LaburnumsillError as error:
             await caller.problem(error, request_id)
             return
-        except Exception as error:  # the border: nothing leaks to a caller
+        except Exception as error:  # callers get no internal details
             logs.event("route-failed", level="ERROR", error=repr(error))
             failure = errors.LaburnumsillError("unexpected failure")
             await caller.problem(failure, request_id)
@@ -106,7 +108,7 @@
 
 
 class _Caller:
-    """The two directions of one caller's request."""
+    """The connection to a caller, for one request and its answer."""
 
     def __init__(self, receive: Receive, send: Send, head_only: bool) -> None:
         self._receive = receive
@@ -117,7 +119,7 @@
 
     @property
     def body_refused(self) -> bool:
-        """Whether the answer began before the body was read."""
+        """Whether the answer was started before the body was read."""
         return self._body_refused
 
     async def body(self) -> abc.AsyncIterator[bytes]:
@@ -131,21 +133,21 @@
                 self._body_read.set()
                 return
 
-    async def skip_body(self) -> None:
-        """Reads what is left of the body, within bounds."""
-        left = MAX_UNREAD_BYTES
-        with trio.move_on_after(UNREAD_S):
-            while left > 0 and not self._body_read.is_set():
+    async def discard_body(self) -> None:
+        """Reads and discards the rest of the body, within the limits."""
+        remaining = MAX_DISCARDED_BYTES
+        with trio.move_on_after(DISCARD_TIMEOUT_S):
+            while remaining > 0 and not self._body_read.is_set():
                 message = await self._receive()
-                left -= len(message.get("body", b""))
+                remaining -= len(message.get("body", b""))
                 if not message.get("more_body", False):
                     self._body_read.set()
 
-    async def watch(self, scope: trio.CancelScope) -> None:
-        """Cancels `scope` once the caller is gone.
+    async def watch_disconnect(self, scope: trio.CancelScope) -> None:
+        """Cancels `scope` when the caller disconnects.
 
-        It throws away what comes of a body that was refused: the server
-        stops, and keeps its memory, where nobody takes the pieces.
+        Discards the chunks of a refused body that still arrive: if they are
+        not read, the HTTP server blocks and holds them in memory.
         """
         await self._body_read.wait()
         while (await self._receive())["type"] != "http.disconnect":
@@ -153,17 +155,17 @@
         scope.cancel()
 
     async def answer(self, answer: messages.Answer, request_id: str) -> None:
-        """Passes an answer on, chunk by chunk."""
-        own = (
+        """Streams an answer to the caller."""
+        own_headers = (
             (headers.OUTCOME, str(answer.outcome).encode()),
             (headers.REQUEST_ID, request_id.encode()),
         )
-        passed = list(answer.headers) + list(own)
-        whole = answer.whole_body
+        sent_headers = list(answer.headers) + list(own_headers)
+        body = answer.whole_body
         bodiless = answer.status in backend.BODILESS_STATUSES
-        if whole is not None and not (bodiless or _has_length(passed)):
-            passed.append((b"content-length", str(len(whole)).encode()))
-        await self._start(answer.status, passed)
+        if body is not None and not (bodiless or _has_length(sent_headers)):
+            sent_headers.append((b"content-length", str(len(body)).encode()))
+        await self._start(answer.status, sent_headers)
         async for chunk in answer.chunks():
             await self._chunk(chunk, more=True)
         await self._chunk(b"", more=False)
@@ -171,29 +173,29 @@
     async def problem(
         self, error: errors.LaburnumsillError, request_id: str
     ) -> None:
-        """Tells the caller of an error and of the request's outcome."""
-        await self.skip_body()
+        """Answers with a problem response and the request's outcome."""
+        await self.discard_body()
         if not self._body_read.is_set():
             self._body_refused = True
             self._body_read.set()
         response = problems.problem(error)
         outcome = answers.outcome_of(error)
-        passed = [
+        sent_headers = [
             *response.raw_headers,
             (headers.OUTCOME, str(outcome).encode()),
             (headers.REQUEST_ID, request_id.encode()),
         ]
-        await self._start(response.status_code, passed)
+        await self._start(response.status_code, sent_headers)
         await self._chunk(bytes(response.body), more=False)
 
     async def _start(
-        self, status: int, passed: list[tuple[bytes, bytes]]
+        self, status: int, sent_headers: list[tuple[bytes, bytes]]
     ) -> None:
         await self._send(
             {
                 "type": "http.response.start",
                 "status": status,
-                "headers": passed,
+                "headers": sent_headers,
             }
         )
 
@@ -203,14 +205,15 @@
             "body": b"" if self._head_only else chunk,
             "more_body": more,
         }
-        # The last message makes the server report a disconnect while it is
-        # still ending the exchange; that must not cancel it half way.
+        # After the last message the HTTP server reports a disconnect while it
+        # is still completing the response. The shield keeps
+        # `watch_disconnect` from cancelling that.
         with trio.CancelScope(shield=not more):
             await self._send(message)
 
 
 def routes(router: routers.RequestRouter) -> list[routing.Route]:
-    """Returns the route that tells what became of a key."""
+    """Returns the route that reads the state of a key."""
 
     async def get_request(
         request: starlette_requests.Request,
@@ -231,11 +234,11 @@
     ]
 
 
-def _head(
+def _request_head(
     scope: Scope, request_id: str, arrived: float
 ) -> messages.RequestHead:
-    passed = tuple((name.lower(), value) for name, value in scope["headers"])
-    if sum(len(name) + len(value) for name, value in passed) > (
+    received = tuple((name.lower(), value) for name, value in scope["headers"])
+    if sum(len(name) + len(value) for name, value in received) > (
         MAX_HEADER_BYTES
     ):
         raise HeadersTooLargeError(
@@ -251,10 +254,10 @@
         service.decode("latin-1"),
         scope["method"],
         target,
-        passed,
+        received,
         arrived,
     )
 
 
-def _has_length(passed: abc.Iterable[tuple[bytes, bytes]]) -> bool:
-    return any(name == b"content-length" for name, _ in passed)
+def _has_length(fields: abc.Iterable[tuple[bytes, bytes]]) -> bool:
+    return any(name == b"content-length" for name, _ in fields)
--- a/laburnumsill/api/tests/asgi.py
+++ b/laburnumsill/api/tests/asgi.py
@@ -1,4 +1,4 @@
-"""Calls an ASGI application without a socket."""
+"""A client that calls an ASGI application without a socket."""
 
 import dataclasses
 import json
@@ -13,7 +13,7 @@
 
 
 class Caller:
-    """Sends one exchange after the other to an application."""
+    """Sends requests to an ASGI application and returns its answers."""
 
     def __init__(self, app):
         self._app = app
@@ -43,7 +43,7 @@
 
         await self._app(scope, receive, send)
         content = b"".join(part.get("body", b"") for part in sent[1:])
-        found = {
+        answer_headers = {
             name.decode(): value.decode() for name, value in sent[0]["headers"]
         }
-        return Answer(sent[0]["status"], found, json.loads(content))
+        return Answer(sent[0]["status"], answer_headers, json.loads(content))
--- a/laburnumsill/api/tests/test_configuration.py
+++ b/laburnumsill/api/tests/test_configuration.py
@@ -30,7 +30,7 @@
 
 
 class LossyGroups(local_groups.LocalGroups):
-    """Loses the answers of the next `losses` proposals."""
+    """Replica groups that lose the answers to the next `losses` proposals."""
 
     losses = 0
 
@@ -102,7 +102,7 @@
     assert (await api.send("GET", "/v1/config?source=in-force"))[0] == 404
 
 
-async def test_race_and_resend():
+async def test_conflicting_and_repeated_pushes():
     api = Api()
     first = await api.push(0, "one", "ann", "k1")
     status, lost = await api.push(0, "two", "ben", "k2")
@@ -113,11 +113,11 @@
     assert (await api.push(1, "three", "ben"))[1]["version"] == 2
     assert await api.push(0, "one", "ann", "k1") == first
     assert (await api.push(0, "other", "ann", "k1"))[0] == 422
-    assert await api.push(1, "three", "ben") == (200, api_answer(api))
+    assert await api.push(1, "three", "ben") == (200, newest_accepted(api))
     assert api.log.version == 2
 
 
-def api_answer(api):
+def newest_accepted(api):
     newest = api.log.current
     return {
         "version": newest.version,
@@ -127,14 +127,16 @@
     }
 
 
-async def test_a_lost_proposal_is_proposed_again(autojump_clock):
+async def test_lost_proposal_is_retried(autojump_clock):
     api = Api()
     api.groups.losses = 3
     assert (await api.push(0))[1]["version"] == 1
     assert api.log.version == 1
 
 
-async def test_no_quorum_and_unknown_are_told_apart(autojump_clock):
+async def test_no_quorum_and_unknown_outcome_are_distinct_problems(
+    autojump_clock,
+):
     api = Api()
     api.groups.unavailable.add("root")
     status, problem = await api.push(0)
@@ -172,7 +174,7 @@
         ),
     ],
 )
-async def test_bad_pushes(body, status, slug):
+async def test_invalid_push_is_refused(body, status, slug):
     api = Api()
     got, problem = await api.send("PUT", "/v1/config", body)
     assert got == status
@@ -180,7 +182,7 @@
     assert api.log.version == 0
 
 
-async def test_domains_are_those_of_the_vms_and_stay():
+async def test_push_cannot_add_unknown_domains_or_change_the_domains():
     api = Api()
     status, problem = await api.push(0, domains=["north", "nowhere"])
     assert (status, problem["value"]) == (422, "nowhere")
@@ -194,7 +196,7 @@
     assert api.log.version == 12
 
 
-async def test_status_names_what_is_behind_and_unreachable():
+async def test_status_lists_domains_behind_and_unreachable_vms():
     api = Api()
     await api.push(0)
     _, answer = await api.send("GET", "/v1/config/status")
--- a/laburnumsill/api/tests/test_interface_page.py
+++ b/laburnumsill/api/tests/test_interface_page.py
@@ -11,24 +11,24 @@
 PACKAGES = ("core", "members", "requests", "api")
 
 
-def callers_errors():
-    """Returns the types of all errors that a caller may be told of."""
+def public_errors():
+    """Yields the types of all errors that a caller may get."""
     for package in PACKAGES:
-        found = importlib.import_module(f"laburnumsill.{package}")
-        for module in pkgutil.iter_modules(found.__path__):
+        imported = importlib.import_module(f"laburnumsill.{package}")
+        for module in pkgutil.iter_modules(imported.__path__):
             if module.name != "tests":
-                importlib.import_module(f"{found.__name__}.{module.name}")
+                importlib.import_module(f"{imported.__name__}.{module.name}")
     prefixes = tuple(f"{laburnumsill.__name__}.{name}." for name in PACKAGES)
-    waiting = [errors.LaburnumsillError]
-    while waiting:
-        error = waiting.pop()
-        waiting += error.__subclasses__()
+    pending = [errors.LaburnumsillError]
+    while pending:
+        error = pending.pop()
+        pending += error.__subclasses__()
         if error.__module__.startswith(prefixes):
             yield error
 
 
-@pytest.mark.parametrize("error", list(callers_errors()), ids=lambda e: e.slug)
-def test_the_page_names_each_error(error):
+@pytest.mark.parametrize("error", list(public_errors()), ids=lambda e: e.slug)
+def test_interface_page_lists_each_error(error):
     if error.slug == "undecodable-message":
         return  # between VMs only
     lines = PAGE.read_text().splitlines()
--- a/laburnumsill/api/tests/test_jobs.py
+++ b/laburnumsill/api/tests/test_jobs.py
@@ -14,23 +14,25 @@
     return asgi.Caller(applications.Starlette(routes=routes))
 
 
-async def test_a_job_is_submitted_read_listed_and_cancelled():
+async def test_job_is_submitted_read_listed_and_cancelled():
     caller = app()
     body = {"account": "tana", "accelerators": 8, "guaranteed": True}
-    made = await caller.call("POST", "/v1/jobs", body, {"Idempotency-Key": "k"})
-    assert made.status == 201
-    path = made.headers["location"]
+    submitted = await caller.call(
+        "POST", "/v1/jobs", body, {"Idempotency-Key": "k"}
+    )
+    assert submitted.status == 201
+    path = submitted.headers["location"]
     read = await caller.call("GET", path)
     assert (read.status, read.body["state"]) == (200, "queued")
     listed = await caller.call("GET", "/v1/jobs?state=queued&account=tana")
     assert [job["job_id"] for job in listed.body["jobs"]] == [
         read.body["job_id"]
     ]
-    gone = await caller.call("DELETE", path)
-    assert (gone.status, gone.body["state"]) == (200, "cancelled")
+    deleted = await caller.call("DELETE", path)
+    assert (deleted.status, deleted.body["state"]) == (200, "cancelled")
 
 
-async def test_refusals_are_problems_with_their_reason():
+async def test_invalid_job_requests_get_problem_responses():
     caller = app()
     key = {"Idempotency-Key": "k"}
     for body, headers, status, slug in (
@@ -60,7 +62,7 @@
     assert north["guarantee"]["workers"] == 1
     assert north["use"]["borrowed"] == 0
     listed = await caller.call("GET", "/v1/accounts")
-    assert [one["name"] for one in listed.body["accounts"]] == [
+    assert [account["name"] for account in listed.body["accounts"]] == [
         "fingal",
         "tana",
     ]
--- a/laburnumsill/api/tests/test_members.py
+++ b/laburnumsill/api/tests/test_members.py
@@ -1,4 +1,4 @@
-"""The members' calls over real HTTP on a free port."""
+"""Tests of the members' endpoints over HTTP on a free port."""
 
 import functools
 import typing
@@ -63,12 +63,12 @@
         self.address = address
         self.cluster = clusters.Cluster()
         self.table = self.cluster.tables["vm00"]
-        routes = members.routes(self.table, self.take)
+        routes = members.routes(self.table, self.record_report)
         self.app = applications.Starlette(routes=routes)
         self.reports: list[usage_module.UsageReport] = []
         self.pool = httpcore.AsyncConnectionPool()
 
-    async def take(self, report: usage_module.UsageReport) -> None:
+    async def record_report(self, report: usage_module.UsageReport) -> None:
         self.reports.append(report)
 
     async def call(
@@ -81,7 +81,10 @@
         return answer.status, orjson.loads(answer.content)
 
     async def status_in_process(self, path: str, body: bytes) -> int:
-        """Calls the app without a connection that may be reset."""
+        """Returns the status of a call of the application without HTTP.
+
+        A connection may be reset while a body over the limit is sent.
+        """
         sent: list[typing.Any] = []
 
         async def receive() -> dict[str, object]:
@@ -109,16 +112,18 @@
 @pytest.fixture
 async def site(nursery: trio.Nursery) -> abc.AsyncIterator[Site]:
     address = ports.free_address()
-    found = Site(address)
+    http_site = Site(address)
     config = hypercorn.config.Config()
     config.bind = [address]
     await nursery.start(
-        functools.partial(hypercorn.trio.serve, found.app, config, mode="asgi")
+        functools.partial(
+            hypercorn.trio.serve, http_site.app, config, mode="asgi"
+        )
     )
-    yield found
+    yield http_site
 
 
-async def test_members_announce_are_listed_and_leave(site: Site) -> None:
+async def test_members_announce_and_leave_and_are_listed(site: Site) -> None:
     for path, body, key in (
         ("/v1/backend-servers", SERVER, "backend_servers"),
         ("/v1/workers", WORKER, "workers"),
@@ -145,7 +150,7 @@
     assert await site.call("GET", "/v1/workers") == (200, {"workers": []})
 
 
-async def test_usage_reaches_its_handler(site: Site) -> None:
+async def test_usage_report_reaches_the_handler(site: Site) -> None:
     answer = await site.call("POST", "/v1/workers/w1/usage", USAGE)
     assert answer == (202, {"accepted": True})
     task = usage_module.TaskUsage("t1", "d0.j1", 2, "running", 90.5, 410.0, 7.5)
@@ -154,7 +159,7 @@
     ]
 
 
-async def test_bad_calls_get_typed_answers(site: Site) -> None:
+async def test_invalid_requests_get_problem_responses(site: Site) -> None:
     servers, workers = "/v1/backend-servers", "/v1/workers"
     slug = site.slug
     assert await slug("POST", servers, b"{") == "400 malformed-json"
@@ -211,7 +216,7 @@
     field=strategies.sampled_from(sorted({*SERVER, *WORKER, *USAGE})),
     value=JSON,
 )
-def test_border_models_take_or_refuse_whatever_comes(
+def test_models_accept_or_refuse_any_json_value(
     body: dict[str, object], field: str, value: object
 ) -> None:
     for model in (
@@ -220,7 +225,7 @@
         members.UsageReport,
     ):
         try:
-            taken = model.model_validate({**body, field: value})
+            validated = model.model_validate({**body, field: value})
         except pydantic.ValidationError:
             continue
-        assert taken.model_dump_json()
+        assert validated.model_dump_json()
--- a/laburnumsill/api/tests/test_services.py
+++ b/laburnumsill/api/tests/test_services.py
@@ -1,4 +1,4 @@
-"""Callers' requests over HTTP: hypercorn in front, a fake server behind."""
+"""Tests of requests to services over HTTP, with a fake backend server."""
 
 import contextlib
 import functools
@@ -17,7 +17,7 @@
 
 @contextlib.asynccontextmanager
 async def serving(reply, **requests):
-    """Yields the address of the HTTP interface, the bench and the server."""
+    """Yields the port of the HTTP interface, the bench and the fake server."""
     bench = support.Bench(**requests)
     server = support.FakeServer(reply)
     router = bench.router()
@@ -44,7 +44,7 @@
 
 
 async def call(port, *lines, body=b"{}", method="POST", path="/huts/x?y=1"):
-    """Returns head and body, read until the connection is closed."""
+    """Returns head and body of an answer, read until the connection closes."""
     stream = await trio.open_tcp_stream("127.0.0.1", port)
     head = [
         f"{method} {path} HTTP/1.1",
@@ -80,7 +80,7 @@
         assert orjson.loads(body)["state"] == "answered"
 
 
-async def test_problems_are_typed_and_truthful():
+async def test_refused_requests_get_problems_and_are_not_run():
     async with serving(support.respond()) as (port, _, server):
         cases = [
             (("laburnumsill-class: confirm",), SERVICES, 400, "missing-key"),
@@ -110,7 +110,7 @@
         assert not server.calls
 
 
-async def test_durable_is_accepted():
+async def test_durable_request_is_accepted():
     async with serving(support.respond()) as (port, _, _):
         lines = ("laburnumsill-class: tag", "idempotency-key: t1")
         head, body = await call(port, *lines, path=SERVICES)
@@ -126,9 +126,9 @@
     for reply in (support.raw(cut), support.raw(chunked)):
         async with serving(reply) as (port, _, _):
             head, body = await call(port, CHECK, path=SERVICES)
-            whole = body.endswith(b"0\r\n\r\n") or len(body) >= 900_000
+            complete = body.endswith(b"0\r\n\r\n") or len(body) >= 900_000
             assert "laburnumsill-outcome: answered" in head
-            assert not whole
+            assert not complete
 
 
 async def test_large_answer_streams():
@@ -147,7 +147,7 @@
         assert len(body) == size
 
 
-async def test_head_has_the_length_and_no_body():
+async def test_head_answer_has_a_length_and_no_body():
     async def reply(_, stream):
         await stream.send_all(b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\n")
         return True
@@ -162,7 +162,7 @@
         assert len(server.calls) == 2
 
 
-def test_the_server_s_own_date_is_not_passed_on():
+def test_date_header_of_the_server_is_not_forwarded():
     received = ((b"date", b"Thu, 01 Jan 1970 00:00:00 GMT"), (b"x", b"1"))
     assert headers.end_to_end(received) == ((b"x", b"1"),)
 
@@ -176,7 +176,7 @@
             assert body == b""
 
 
-async def test_refusal_reaches_a_caller_that_is_still_sending():
+async def test_refusal_reaches_caller_that_is_still_sending():
     async with serving(support.respond()) as (port, _, _):
         for _ in range(20):
             head, _ = await call(
