--- a/laburnumsill/cli/client.py
+++ b/laburnumsill/cli/client.py
@@ -1,8 +1,8 @@
-"""HTTP calls to the VMs, one after the other until one answers.
+"""HTTP client that tries the VMs in order until one answers.
 
-A call that certainly was not sent goes to the next VM. So does one that was
-sent and not answered, but only if resending it is harmless: it reads, or
-the VMs know it again by its Idempotency-Key, which is made once a call.
+A call that was not sent is retried with the next VM. A call that was sent but
+not answered is retried only if it is idempotent: it is read-only, or the VMs
+recognize it by its Idempotency-Key, which is generated once per call.
 """
 
 import dataclasses
@@ -17,33 +17,33 @@
 from laburnumsill.core import errors
 
 CONNECT_TIMEOUT_S = 1.0
-"""Time that a VM has to take a connection."""
+"""Timeout for connecting to a VM."""
 
-LEAST_ATTEMPT_S = 2.0
-"""Time that one VM has at least before the next is tried."""
+MIN_ATTEMPT_TIMEOUT_S = 2.0
+"""Minimum timeout of an attempt at one VM, unless the deadline is earlier."""
 
-ROUND_PAUSE_S = 0.2
-"""Pause before the VMs are tried again that said to try later."""
+ROUND_INTERVAL_S = 0.2
+"""Wait between two rounds over all VMs, after a retryable answer."""
 
 OUTCOME_HEADER = "laburnumsill-outcome"
 OUTCOME_ANSWERED = "answered"
 OUTCOME_UNKNOWN = "unknown"
 
-_UNSENT = (
+_NOT_SENT_ERRORS = (
     httpcore.ConnectError,
     httpcore.ConnectTimeout,
     httpcore.PoolTimeout,
 )
-_MAYBE_SENT = (
+_MAYBE_SENT_ERRORS = (
     httpcore.NetworkError,
     httpcore.TimeoutException,
     httpcore.ProtocolError,
 )
 _UNAVAILABLE = 503
-_OWN_MEMBERS = frozenset(
+_RESERVED_MEMBERS = frozenset(
     {"title", "status", "self", "problem", "retry_after_s", "answered_by"}
 )
-"""Members of a problem that would clash with a refusal's own fields."""
+"""Members of a problem that would clash with fields of `RefusedError`."""
 
 _PROBLEM = "application/problem+json"
 
@@ -52,25 +52,26 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """One call, the same for each VM that it is tried at.
+    """An HTTP call, sent unchanged in each attempt.
 
     Attributes:
         method: The HTTP method.
         path: The path with its query.
         body: The body.
-        headers: Headers besides the ones that HTTP needs.
-        resendable: Whether sending it twice is harmless.
+        headers: Additional headers.
+        idempotent: Whether sending the call twice has the effect of sending
+            it once.
     """
 
     method: str
     path: str
     body: bytes = b""
     headers: Headers = dataclasses.field(default_factory=dict)
-    resendable: bool = True
+    idempotent: bool = True
 
     @property
-    def reads(self) -> bool:
-        """Whether the call changes nothing."""
+    def read_only(self) -> bool:
+        """Whether the call changes no state."""
         return self.method in ("GET", "HEAD")
 
 
@@ -92,29 +93,33 @@
 
     @property
     def is_problem(self) -> bool:
-        """Whether the body is a problem of the system's own."""
+        """Whether the body is a problem response."""
         return self.headers.get("content-type", "").startswith(_PROBLEM)
 
     @property
-    def tells_to_retry(self) -> bool:
-        """Whether the VM did nothing, or may have, and another can help."""
+    def is_retryable(self) -> bool:
+        """Whether the call may succeed at another VM or later.
+
+        This holds for problem responses of the VM itself with status 503 or
+        with an unknown outcome, not for answers of a backend server.
+        """
         by_server = self.headers.get(OUTCOME_HEADER) == OUTCOME_ANSWERED
         if by_server or not self.is_problem:
             return False
-        return self.is_unknown or self.status == _UNAVAILABLE
+        return self.outcome_unknown or self.status == _UNAVAILABLE
 
     @property
-    def is_unknown(self) -> bool:
-        """Whether the VM says that it may have been done."""
+    def outcome_unknown(self) -> bool:
+        """Whether the call may have been executed, by the VM's answer."""
         if self.headers.get(OUTCOME_HEADER) == OUTCOME_UNKNOWN:
             return True
         return self.refusal().problem in failures.UNKNOWN_SLUGS
 
     def json(self) -> typing.Any:
-        """Returns the body's values.
+        """Returns the decoded JSON body.
 
         Raises:
-            failures.RefusedError: The body is no JSON.
+            failures.RefusedError: The body is not valid JSON.
         """
         try:
             return orjson.loads(self.body)
@@ -124,13 +129,13 @@
             ) from error
 
     def refusal(self) -> failures.RefusedError:
-        """Returns the error that stands for an answer with a problem."""
+        """Returns the error for an answer with a problem or an error status."""
         problem = self.json() if self.is_problem else {}
         if not isinstance(problem, dict):
             problem = {}
         slug = str(problem.pop("type", "")).rpartition("/")[2]
         detail = str(problem.pop("detail", f"status {self.status}"))
-        for member in _OWN_MEMBERS:
+        for member in _RESERVED_MEMBERS:
             problem.pop(member, None)
         return failures.RefusedError(
             detail,
@@ -145,7 +150,7 @@
 
     Args:
         addresses: The VMs' client addresses, tried in this order.
-        deadline: Monotonic point until which answers are waited for.
+        deadline: Monotonic time of the deadline of all calls.
     """
 
     def __init__(self, addresses: abc.Sequence[str], deadline: float) -> None:
@@ -158,13 +163,14 @@
         return self._addresses
 
     def call(self, call: Call) -> Answer:
-        """Returns the first good answer of a VM.
+        """Returns the first successful answer of a VM.
 
         Raises:
             failures.NoVmAnsweredError: No VM could be reached.
-            failures.UnansweredError: It was sent and no VM told what became
-                of it.
-            failures.RefusedError: A VM answered with a problem.
+            failures.UnansweredError: The call was sent and its outcome is
+                unknown.
+            failures.RefusedError: A VM answered with a problem or an error
+                status.
         """
         answer = self.answer(call)
         if answer.is_problem or answer.status >= 400:
@@ -172,49 +178,49 @@
         return answer
 
     def answer(self, call: Call) -> Answer:
-        """Returns the first final answer of a VM, problems too.
+        """Returns the first final answer of a VM, which may be a problem.
 
         Raises:
             failures.NoVmAnsweredError: No VM could be reached.
-            failures.UnansweredError: It was sent and no VM told what became
-                of it.
+            failures.UnansweredError: The call was sent and its outcome is
+                unknown.
         """
-        progress = _Progress(call)
+        attempts = _Attempts(call)
         while True:
             for position, address in enumerate(self._addresses):
-                left = len(self._addresses) - position
-                answer = self._attempt(call, address, left, progress)
+                vms_left = len(self._addresses) - position
+                answer = self._attempt(call, address, vms_left, attempts)
                 if answer is not None:
                     return answer
-            again = progress.told_to_retry is not None
-            if not again or self._remaining() <= ROUND_PAUSE_S:
-                return progress.end()
-            time.sleep(ROUND_PAUSE_S)
+            retryable = attempts.last_retryable is not None
+            if not retryable or self._remaining() <= ROUND_INTERVAL_S:
+                return attempts.result()
+            time.sleep(ROUND_INTERVAL_S)
 
-    def ask(self, address: str, call: Call) -> Answer | None:
-        """Returns one VM's answer to a read, None if it gives none."""
+    def query(self, address: str, call: Call) -> Answer | None:
+        """Returns one VM's answer to a read-only call, None without one."""
         try:
-            return self._send(call, address, self._attempt_time(1))
-        except (*_UNSENT, *_MAYBE_SENT):
+            return self._send(call, address, self._attempt_timeout(1))
+        except (*_NOT_SENT_ERRORS, *_MAYBE_SENT_ERRORS):
             return None
 
     def _attempt(
-        self, call: Call, address: str, vms_left: int, progress: "_Progress"
+        self, call: Call, address: str, vms_left: int, attempts: "_Attempts"
     ) -> Answer | None:
-        """Returns a final answer, None if another VM is to be tried."""
-        timeout_s = self._attempt_time(vms_left)
+        """Returns a final answer, None if the next VM has to be tried."""
+        timeout_s = self._attempt_timeout(vms_left)
         if timeout_s <= 0:
             return None
         try:
             answer = self._send(call, address, timeout_s)
-        except _UNSENT:
+        except _NOT_SENT_ERRORS:
             return None
-        except _MAYBE_SENT as error:
-            progress.sent(address, error)
+        except _MAYBE_SENT_ERRORS as error:
+            attempts.record_unanswered(address, error)
             return None
-        if not answer.tells_to_retry:
+        if not answer.is_retryable:
             return answer
-        progress.refused(answer)
+        attempts.record_retryable(answer)
         return None
 
     def _send(self, call: Call, address: str, timeout_s: float) -> Answer:
@@ -235,62 +241,62 @@
                 content=call.body or None,
                 extensions={"timeout": timeout},
             )
-        names = {
+        received = {
             name.decode("latin-1").lower(): value.decode("latin-1")
             for name, value in response.headers
         }
-        return Answer(address, response.status, names, response.content)
+        return Answer(address, response.status, received, response.content)
 
-    def _attempt_time(self, vms_left: int) -> float:
+    def _attempt_timeout(self, vms_left: int) -> float:
         remaining = self._remaining()
-        return min(remaining, max(remaining / vms_left, LEAST_ATTEMPT_S))
+        return min(remaining, max(remaining / vms_left, MIN_ATTEMPT_TIMEOUT_S))
 
     def _remaining(self) -> float:
         return self._deadline - time.monotonic()
 
 
-class _Progress:
-    """What the attempts of one call came to so far."""
+class _Attempts:
+    """The results of the attempts at one call."""
 
     def __init__(self, call: Call) -> None:
         self._call = call
         self._sent_to: str | None = None
-        self.told_to_retry: Answer | None = None
+        self.last_retryable: Answer | None = None
 
-    def sent(self, address: str, error: Exception) -> None:
-        """Notes that a VM got the call, maybe, and gave no answer.
+    def record_unanswered(self, address: str, error: Exception) -> None:
+        """Records an attempt that may have been sent but was not answered.
 
         Raises:
-            failures.UnansweredError: The call must not be sent again.
+            failures.UnansweredError: The call is not idempotent.
         """
         self._sent_to = address
-        if not self._call.resendable:
+        if not self._call.idempotent:
             raise self._unanswered(repr(error))
 
-    def refused(self, answer: Answer) -> None:
-        """Notes that a VM answered with a problem that may pass.
+    def record_retryable(self, answer: Answer) -> None:
+        """Records a retryable answer.
 
         Raises:
-            failures.RefusedError: The VM may have done it, and the call must
-                not be sent again.
+            failures.RefusedError: The outcome is unknown and the call is not
+                idempotent.
         """
-        if answer.is_unknown and not self._call.resendable:
+        if answer.outcome_unknown and not self._call.idempotent:
             raise answer.refusal()
-        if answer.is_unknown:
+        if answer.outcome_unknown:
             self._sent_to = answer.address
-        self.told_to_retry = answer
+        self.last_retryable = answer
 
-    def end(self) -> Answer:
-        """Returns the last refusal, or raises what the attempts came to.
+    def result(self) -> Answer:
+        """Returns the last retryable answer after the last attempt.
 
         Raises:
             failures.NoVmAnsweredError: No VM could be reached.
-            failures.UnansweredError: It may have been done.
+            failures.UnansweredError: The call may have been executed.
         """
-        if self._sent_to is not None and not self._call.reads:
+        if self._sent_to is not None and not self._call.read_only:
             raise self._unanswered("no VM answered")
-        if self.told_to_retry is not None:
-            return self.told_to_retry
+        if self.last_retryable is not None:
+            return self.last_retryable
         raise failures.NoVmAnsweredError(
             f"no VM answered {self._call.method} {self._call.path}"
         )
@@ -298,6 +304,6 @@
     def _unanswered(self, reason: str) -> errors.OutcomeUnknownError:
         key = self._call.headers.get("Idempotency-Key")
         detail = f"sent to {self._sent_to}: {reason}; it may have been done"
-        if key and self._call.resendable:
+        if key and self._call.idempotent:
             detail += f"; resend with --key={key} to get its answer"
         return failures.UnansweredError(detail, key=key)
--- a/laburnumsill/cli/config_commands.py
+++ b/laburnumsill/cli/config_commands.py
@@ -17,14 +17,14 @@
 
 
 class ConfigCommands:
-    """The configuration: check files, push them, see what is in force."""
+    """The configuration: check files, push them, show what is in force."""
 
     def __init__(self, session: sessions.Session) -> None:
         self._session = session
 
     @decorators.SetParseFn(str)
     def check(self, base: str, overlay: str | None = None) -> sessions.Action:
-        """Checks files without sending anything.
+        """Checks files without contacting a VM.
 
         Args:
             base: The base TOML file.
@@ -32,17 +32,17 @@
         """
 
         def run() -> None:
-            loaded = _loaded(base, overlay)
-            shown: dict[str, typing.Any] = {
-                "site": loaded.site,
-                "digest": canonical.digest(canonical.encode(loaded)),
-                "domains": list(loaded.domains),
-                "services": sorted(loaded.services),
-                "accounts": sorted(loaded.accounts),
+            configuration = _load(base, overlay)
+            summary: dict[str, typing.Any] = {
+                "site": configuration.site,
+                "digest": canonical.digest(canonical.encode(configuration)),
+                "domains": list(configuration.domains),
+                "services": sorted(configuration.services),
+                "accounts": sorted(configuration.accounts),
             }
             if self._session.as_json:
-                shown["configuration"] = loaded.model_dump(mode="json")
-            self._session.show(shown)
+                summary["configuration"] = configuration.model_dump(mode="json")
+            self._session.show(summary)
 
         return sessions.Action(run)
 
@@ -57,24 +57,25 @@
     ) -> sessions.Action:
         """Pushes files as the next version.
 
-        Of operators who push on top of the same version exactly one wins;
-        the others are told the winner.
+        If several operators push with the same expected version, exactly one
+        push is accepted. The others are refused with a version conflict that
+        names the accepted version and its operator.
 
         Args:
             base: The base TOML file.
             overlay: The site's overlay TOML file.
-            expected_version: The version it was made on top of; 0 for the
-                first.
-            operator: Who pushes; the name of the user if left out.
+            expected_version: The version that the files are based on; 0 for
+                the first.
+            operator: The operator's name; default: the name of the user.
             key: The Idempotency-Key of a push whose answer was lost.
         """
 
         def run() -> None:
             flag = "--expected-version"
-            given = values.text(flag, expected_version)
+            version = values.required_text(flag, expected_version)
             body = {
-                "expected_version": values.whole_number(flag, given),
-                "configuration": _loaded(base, overlay).model_dump(mode="json"),
+                "expected_version": values.whole_number(flag, version),
+                "configuration": _load(base, overlay).model_dump(mode="json"),
                 "operator": operator or getpass.getuser(),
             }
             answer = self._session.change("PUT", "/v1/config", body, key)
@@ -92,30 +93,30 @@
         """Shows the accepted version, or another one.
 
         Args:
-            site: The site that the VMs must be of.
-            version: An older version.
-            in_force: The version in force on the VM that answers, which
-                needs no quorum.
+            site: The expected site; fails if the VMs belong to another.
+            version: An older version to show.
+            in_force: Whether to show the version in force on the VM that
+                answers, which needs no quorum.
         """
 
         def run() -> None:
-            local = values.truth("--in-force", in_force)
+            show_in_force = values.boolean("--in-force", in_force)
             answer = self._session.get(
                 "/v1/config",
                 version=version,
-                source="in-force" if local else None,
+                source="in-force" if show_in_force else None,
             )
             _check_site(site, answer["configuration"]["site"])
             if not self._session.as_json:
-                whole = answer.pop("configuration")
-                answer.update(_flat(whole))
+                configuration = answer.pop("configuration")
+                answer.update(_flatten(configuration))
             self._session.show(answer)
 
         return sessions.Action(run)
 
     @decorators.SetParseFn(str)
     def diff(self, base: str, overlay: str | None = None) -> sessions.Action:
-        """Shows where files differ from the accepted version.
+        """Shows the keys that differ between files and the accepted version.
 
         Args:
             base: The base TOML file.
@@ -123,25 +124,25 @@
         """
 
         def run() -> None:
-            here = _flat(_loaded(base, overlay).model_dump(mode="json"))
+            local = _flatten(_load(base, overlay).model_dump(mode="json"))
             answer = self._session.get("/v1/config")
-            there = _flat(answer["configuration"])
+            accepted = _flatten(answer["configuration"])
             self._session.show(
                 [
                     {
                         "key": name,
-                        "accepted": there.get(name, _ABSENT),
-                        "file": here.get(name, _ABSENT),
+                        "accepted": accepted.get(name, _ABSENT),
+                        "file": local.get(name, _ABSENT),
                     }
-                    for name in sorted(here.keys() | there.keys())
-                    if here.get(name, _ABSENT) != there.get(name, _ABSENT)
+                    for name in sorted(local.keys() | accepted.keys())
+                    if local.get(name, _ABSENT) != accepted.get(name, _ABSENT)
                 ]
             )
 
         return sessions.Action(run)
 
     def status(self) -> sessions.Action:
-        """Shows the version in force on each VM and what is behind."""
+        """Shows the version in force on each VM and the domains behind."""
 
         def run() -> None:
             answer = self._session.get("/v1/config/status")
@@ -153,27 +154,27 @@
         return sessions.Action(run)
 
 
-def _loaded(base: str, overlay: str | None) -> models.Configuration:
-    """Returns the checked configuration that files make together."""
+def _load(base: str, overlay: str | None) -> models.Configuration:
+    """Returns the merged and validated configuration of two files."""
     configuration = loading.load(base, overlay)
     policy_names.check(configuration)
     return configuration
 
 
-def _check_site(wanted: str | None, actual: str) -> None:
-    if wanted is not None and wanted != actual:
+def _check_site(expected: str | None, actual: str) -> None:
+    if expected is not None and expected != actual:
         raise failures.NotAllGoodError(
-            f"the VMs are of site {actual!r}, not {wanted!r}"
+            f"the VMs are of site {actual!r}, not {expected!r}"
         )
 
 
-def _flat(tree: typing.Any, prefix: str = "") -> dict[str, typing.Any]:
+def _flatten(tree: typing.Any, prefix: str = "") -> dict[str, typing.Any]:
     """Returns the values of nested tables by dotted key."""
     flat: dict[str, typing.Any] = {}
     for name, value in tree.items():
         key = f"{prefix}{name}"
         if isinstance(value, dict) and value:
-            flat.update(_flat(value, f"{key}."))
+            flat.update(_flatten(value, f"{key}."))
         else:
             flat[key] = value
     return flat
--- a/laburnumsill/cli/explaining.py
+++ b/laburnumsill/cli/explaining.py
@@ -1,4 +1,4 @@
-"""What `laburnumsill job explain` prints."""
+"""The tables of `laburnumsill job explain`, computed from log files."""
 
 import itertools
 import pathlib
@@ -15,20 +15,20 @@
 
 
 class JobNotInLogsError(errors.NotFoundError):
-    """The logs do not tell of a job."""
+    """The logs have no events of the job."""
 
     slug = "job-not-in-logs"
     title = "The logs tell nothing of this job"
 
 
-def read(names: str) -> list[lines.Event]:
-    """Returns the events of some log files.
+def read_events(names: str) -> list[lines.Event]:
+    """Returns the events of log files.
 
     Args:
-        names: The files, with commas between.
+        names: The files, comma-separated.
 
     Raises:
-        failures.UsageError: One can not be read.
+        failures.UsageError: A file cannot be read.
     """
     texts = []
     for name in filter(None, names.split(",")):
@@ -42,58 +42,60 @@
     )
 
 
-def job(site: stories.SiteStory, job_id: str) -> list[Row]:
-    """Returns a row for each part of a job's time.
+def job_rows(site: stories.SiteStory, job_id: str) -> list[Row]:
+    """Returns a row for each span of a job's time, with its cause.
+
+    The last row has the job's final state and lateness.
 
     Raises:
-        JobNotInLogsError: The logs do not tell of it.
+        JobNotInLogsError: The logs have no events of the job.
     """
-    story = site.jobs.get(job_id)
-    if story is None:
+    history = site.jobs.get(job_id)
+    if history is None:
         raise JobNotInLogsError(f"job {job_id!r}", job=job_id)
-    spans = causes.spans_of(story, site)
+    spans = causes.spans_of(history, site)
     if not spans:
         raise JobNotInLogsError(f"job {job_id!r} was never handed in")
-    first_at = spans[0].begin
+    start_at = spans[0].begin
     rows: list[Row] = [
         {
-            "after_s": f"{span.begin - first_at:.3f}",
+            "after_s": f"{span.begin - start_at:.3f}",
             "seconds": f"{span.seconds:.3f}",
             "cause": str(span.cause),
             "detail": span.detail,
         }
         for span in spans
     ]
-    return [*rows, _last_row(story, spans, first_at)]
+    return [*rows, _last_row(history, spans, start_at)]
 
 
-def sums(site: stories.SiteStory) -> list[Row]:
-    """Returns a row for each group of jobs, with seconds by cause."""
+def sum_rows(site: stories.SiteStory) -> list[Row]:
+    """Returns a row for each group of jobs, with total seconds per cause."""
     rows: list[Row] = []
-    for name, found in sums_module.sums_of(site).items():
+    for name, group_sums in sums_module.sums_of(site).items():
         row: Row = {
             "group": name,
-            "jobs": found["jobs"],
-            "late": found["late"],
-            "unended": found["unended"],
+            "jobs": group_sums["jobs"],
+            "late": group_sums["late"],
+            "unended": group_sums["unended"],
         }
         for cause in causes.Cause:
-            row[str(cause)] = f"{found[cause]:.1f}"
+            row[str(cause)] = f"{group_sums[cause]:.1f}"
         rows.append(row)
     return rows
 
 
 def _last_row(
-    story: stories.JobStory,
+    history: stories.JobStory,
     spans: typing.Sequence[causes.Span],
-    first_at: float,
+    start_at: float,
 ) -> Row:
-    """Returns the row that says how a job ended."""
-    late_s = causes.late_by_s(story, spans)
-    late = "" if late_s is None else f"late by {late_s:.3f} s"
+    """Returns the row with a job's final state and lateness."""
+    late_s = causes.late_by_s(history, spans)
+    lateness = "" if late_s is None else f"late by {late_s:.3f} s"
     return {
-        "after_s": f"{spans[-1].end - first_at:.3f}",
+        "after_s": f"{spans[-1].end - start_at:.3f}",
         "seconds": "",
-        "cause": story.state or "not ended",
-        "detail": late,
+        "cause": history.state or "not ended",
+        "detail": lateness,
     }
--- a/laburnumsill/cli/failures.py
+++ b/laburnumsill/cli/failures.py
@@ -1,12 +1,12 @@
-"""Failures of the command-line tool and the exit code of each.
+"""Errors of the command-line tool and their exit codes.
 
 | code | meaning |
 |---|---|
 | 0 | done |
 | 1 | refused or failed; nothing else was done; the problem is printed |
-| 2 | bad usage, or a file that is no good |
+| 2 | bad usage, or an invalid file |
 | 3 | no VM answered; nothing was done |
-| 4 | the outcome is unknown: it may have been done |
+| 4 | the outcome is unknown: the command may have been executed |
 """
 
 from laburnumsill.core import errors
@@ -21,18 +21,18 @@
 UNKNOWN_SLUGS = frozenset(
     {errors.OutcomeUnknownError.slug, errors.ProposalLostError.slug}
 )
-"""Problems after which it is unknown whether something was done."""
+"""Slugs of the problems whose outcome is unknown."""
 
 
 class UsageError(errors.InvalidInputError):
-    """An argument of the command line that is missing or wrong."""
+    """A command-line argument is missing or invalid."""
 
     slug = "usage"
     title = "Bad usage"
 
 
 class NoVmAnsweredError(errors.LaburnumsillError):
-    """None of the VMs could be reached; nothing was sent to any."""
+    """No VM could be reached; the call was sent to none."""
 
     slug = "no-vm-answered"
     status = 503
@@ -40,7 +40,7 @@
 
 
 class UnansweredError(errors.OutcomeUnknownError):
-    """Something was sent and no VM told what became of it."""
+    """A call was sent and its outcome is unknown."""
 
     slug = "unanswered"
     title = "The outcome is unknown"
@@ -50,7 +50,7 @@
     """A VM answered with a problem.
 
     Attributes:
-        problem: The problem's own slug.
+        problem: The slug of the problem.
     """
 
     slug = "refused"
@@ -68,14 +68,14 @@
 
 
 class NotAllGoodError(errors.LaburnumsillError):
-    """A check found something that is not as it should be."""
+    """A check failed for some VMs, or for the site."""
 
     slug = "not-all-good"
     title = "Not all is well"
 
 
 def exit_code(error: errors.LaburnumsillError) -> int:
-    """Returns the exit code for a failure.
+    """Returns the exit code for an error.
 
     Examples:
         >>> exit_code(UsageError("--tasks: got 'x', expected a number"))
--- a/laburnumsill/cli/help_text.py
+++ b/laburnumsill/cli/help_text.py
@@ -1,7 +1,8 @@
-"""How Fire shows help: as plain text, without a pager process.
+"""Corrections to Fire's help: plain text, without a pager process.
 
-Fire lists its own marks on functions as a group of commands, and knows the
-global flags only before the first word; both are put right here.
+Fire lists the metadata that its decorators attach to functions as a group of
+commands, and does not list the global flags in the help of a command. This
+module removes the one and adds the other.
 """
 
 import os
@@ -10,10 +11,12 @@
 
 from fire import core
 
-_MARKS = "FIRE_METADATA"
-_ONLY_MARKS = f"\nGROUPS\n    GROUP is one of the following:\n\n     {_MARKS}\n"
-_MARKS_LINE = f"     {_MARKS}\n\n"
-_MARKS_CHOICE = "GROUP | "
+_METADATA = "FIRE_METADATA"
+_METADATA_GROUP = (
+    f"\nGROUPS\n    GROUP is one of the following:\n\n     {_METADATA}\n"
+)
+_METADATA_LINE = f"     {_METADATA}\n\n"
+_GROUP_CHOICE = "GROUP | "
 _GLOBAL_FLAGS = """
 GLOBAL FLAGS, anywhere on the line
     --vms=VMS
@@ -30,18 +33,18 @@
 
 
 def install() -> None:
-    """Makes Fire show help as described."""
+    """Replaces Fire's display function, which starts a pager."""
     core.Display = _display
 
 
 def _display(lines: abc.Iterable[str], out: typing.TextIO) -> None:
-    print(tidied("\n".join(lines) + "\n"), file=out)
+    print(cleaned("\n".join(lines) + "\n"), file=out)
 
 
-def tidied(text: str) -> str:
-    """Returns Fire's help with what it lacks and without what is its own."""
-    if _ONLY_MARKS in text:
-        text = text.replace(_ONLY_MARKS, "")
-        text = text.replace(_MARKS_CHOICE, "", 1)
-    text = text.replace(_MARKS_LINE, "")
+def cleaned(text: str) -> str:
+    """Returns Fire's help without its metadata and with the global flags."""
+    if _METADATA_GROUP in text:
+        text = text.replace(_METADATA_GROUP, "")
+        text = text.replace(_GROUP_CHOICE, "", 1)
+    text = text.replace(_METADATA_LINE, "")
     return text.rstrip(os.linesep) + "\n" + _GLOBAL_FLAGS
--- a/laburnumsill/cli/job_commands.py
+++ b/laburnumsill/cli/job_commands.py
@@ -33,54 +33,54 @@
         command: str | None = None,
         key: str | None = None,
     ) -> sessions.Action:
-        """Submits a job; it runs whole or not at all.
+        """Submits a job; its tasks are started all together or not at all.
 
         Args:
             account: The client account.
-            tasks: Tasks of the gang.
-            accelerators: Accelerators of one task.
-            cores: Processor cores of one task.
-            memory_gb: Memory of one task in GB.
+            tasks: Number of tasks of the gang.
+            accelerators: Accelerators per task.
+            cores: Processor cores per task.
+            memory_gb: Memory per task in GB.
             adjacency: rack for one rack, any for anywhere in a domain.
-            guaranteed: Whether it may claim the account's guarantee.
-            estimated_run_s: Expected run time in seconds; nothing rests on it.
+            guaranteed: Whether the job may claim the account's guarantee.
+            estimated_run_s: Expected run time in seconds; a hint only.
             run_s: Run time in seconds, passed to the workers.
-            urgent: Whether it goes before the account's other jobs.
-            command: What the tasks run.
+            urgent: Whether the job goes before the account's other jobs.
+            command: The command that the tasks run.
             key: The Idempotency-Key of a submission whose answer was lost.
         """
 
         def run() -> None:
             body: dict[str, typing.Any] = {
-                "account": values.text("--account", account),
+                "account": values.required_text("--account", account),
                 "tasks": values.whole_number("--tasks", tasks, 1),
                 "accelerators": values.whole_number(
                     "--accelerators", accelerators
                 ),
             }
-            for name, whole in (("cores", cores), ("memory_gb", memory_gb)):
-                if whole is not None:
+            for name, number in (("cores", cores), ("memory_gb", memory_gb)):
+                if number is not None:
                     flag = "--" + name.replace("_", "-")
-                    body[name] = values.whole_number(flag, whole)
-            for name, time in (
+                    body[name] = values.whole_number(flag, number)
+            for name, duration in (
                 ("estimated_run_s", estimated_run_s),
                 ("run_s", run_s),
             ):
-                if time is not None:
+                if duration is not None:
                     flag = "--" + name.replace("_", "-")
-                    body[name] = values.seconds(flag, time)
-            for name, truth in (
+                    body[name] = values.seconds(flag, duration)
+            for name, boolean in (
                 ("guaranteed", guaranteed),
                 ("urgent", urgent),
             ):
-                if truth is not None:
-                    body[name] = values.truth(f"--{name}", truth)
+                if boolean is not None:
+                    body[name] = values.boolean(f"--{name}", boolean)
             if adjacency is not None:
                 body["adjacency"] = adjacency
             if command is not None:
                 body["command"] = command
             answer = self._session.change("POST", "/v1/jobs", body, key)
-            self._session.show(answer, views.whole_job)
+            self._session.show(answer, views.job_details)
 
         return sessions.Action(run)
 
@@ -93,8 +93,8 @@
         """
 
         def run() -> None:
-            path = f"/v1/jobs/{sessions.quoted(job)}"
-            self._session.show(self._session.get(path), views.whole_job)
+            path = f"/v1/jobs/{sessions.quote_segment(job)}"
+            self._session.show(self._session.get(path), views.job_details)
 
         return sessions.Action(run)
 
@@ -108,33 +108,33 @@
         """Lists jobs.
 
         Args:
-            account: Only this account's.
-            state: Only those in this state.
-            limit: At most so many, the newest first.
+            account: Only jobs of this account.
+            state: Only jobs in this state.
+            limit: Maximum number of jobs, the newest first.
         """
 
         def run() -> None:
-            found = self._session.get(
+            answer = self._session.get(
                 "/v1/jobs", account=account, state=state, limit=limit
             )
             self._session.show_list(
-                found, lambda jobs: [views.job(job) for job in jobs]
+                answer, lambda jobs: [views.job(job) for job in jobs]
             )
 
         return sessions.Action(run)
 
     @decorators.SetParseFn(str)
     def cancel(self, job: str) -> sessions.Action:
-        """Cancels a job; cancelling it again changes nothing.
+        """Cancels a job; cancelling it again has no effect.
 
         Args:
             job: The job's id.
         """
 
         def run() -> None:
-            path = f"/v1/jobs/{sessions.quoted(job)}"
+            path = f"/v1/jobs/{sessions.quote_segment(job)}"
             answer = self._session.change("DELETE", path)
-            self._session.show(answer, views.whole_job)
+            self._session.show(answer, views.job_details)
 
         return sessions.Action(run)
 
@@ -142,23 +142,24 @@
     def explain(
         self, job: str | None = None, logs: str | None = None
     ) -> sessions.Action:
-        """Says what jobs spent their time on, from the logs of all VMs.
+        """Explains how jobs spent their time, from the logs of all VMs.
 
-        Asks no VM. Without a job, it adds up all jobs: by queue, client
-        account, failure domain and the two seconds in which they came.
+        Sends nothing to the VMs. Without a job, it sums the time of all jobs
+        by queue, client account, failure domain and two-second interval of
+        their submission.
 
         Args:
-            job: The job's id.
-            logs: Files with the logs of the VMs, with commas between.
+            job: The job's id; all jobs if left out.
+            logs: Files with the logs of the VMs, comma-separated.
         """
 
         def run() -> None:
             site = stories.story_of(
-                explaining.read(values.text("--logs", logs))
+                explaining.read_events(values.required_text("--logs", logs))
             )
             if job is None:
-                self._session.show(explaining.sums(site))
+                self._session.show(explaining.sum_rows(site))
             else:
-                self._session.show(explaining.job(site, job))
+                self._session.show(explaining.job_rows(site, job))
 
         return sessions.Action(run)
--- a/laburnumsill/cli/main.py
+++ b/laburnumsill/cli/main.py
@@ -31,11 +31,11 @@
     usage or a bad file; 3 no VM answered; 4 the outcome is unknown.
 
     Args:
-        vms: The VMs' client addresses with commas between, or the TOML file
-            with the list of VMs; else LABURNUMSILL_VMS. They are tried in
+        vms: The VMs' client addresses, comma-separated, or the TOML file
+            with the list of VMs; default: LABURNUMSILL_VMS. They are tried in
             this order.
         output: table or json.
-        timeout: Seconds for the whole command.
+        timeout: Timeout of the whole command in seconds.
     """
 
     def __init__(
@@ -58,19 +58,19 @@
 
 
 def run(arguments: abc.Sequence[str]) -> int:
-    """Runs one command line and returns its exit code."""
+    """Runs a command line and returns its exit code."""
     help_text.install()
     try:
-        result = _parsed(arguments)
+        result = _parse(arguments)
     except SystemExit as error:
         return error.code if isinstance(error.code, int) else 1
     if not isinstance(result, sessions.Action):
-        asked = not HELP_FLAGS.isdisjoint(arguments)
-        return failures.EXIT_DONE if asked else failures.EXIT_USAGE
+        wants_help = not HELP_FLAGS.isdisjoint(arguments)
+        return failures.EXIT_DONE if wants_help else failures.EXIT_USAGE
     try:
         sessions.execute(result)
     except errors.LaburnumsillError as error:
-        _print_failure(error, _wants_json(arguments))
+        _print_error(error, _wants_json(arguments))
         return failures.exit_code(error)
     except KeyboardInterrupt:
         return failures.EXIT_INTERRUPTED
@@ -78,37 +78,42 @@
 
 
 def main() -> None:
-    """Runs the tool on the process's arguments."""
+    """Runs the tool with the arguments of the process, and exits."""
     sys.exit(run(sys.argv[1:]))
 
 
-def _parsed(arguments: abc.Sequence[str]) -> object:
-    """Returns what Fire makes of a command line, an action if it is whole."""
+def _parse(arguments: abc.Sequence[str]) -> object:
+    """Parses a command line with Fire.
+
+    Returns:
+        An action if the command line is complete, else the component of the
+        tool at which it ends.
+    """
     wants_help = not HELP_FLAGS.isdisjoint(arguments)
     if wants_help and len(arguments) == 1:
-        arguments = ()  # the list of commands, which Fire shows without words
-    helped = contextlib.redirect_stderr(sys.stdout)
-    with helped if wants_help else contextlib.nullcontext():
+        arguments = ()  # without arguments, Fire lists the commands
+    redirect_help = contextlib.redirect_stderr(sys.stdout)
+    with redirect_help if wants_help else contextlib.nullcontext():
         return fire.Fire(
             Tool,
             command=list(arguments),
             name="laburnumsill",
-            serialize=_nothing_of_actions,
+            serialize=_hide_actions,
         )
 
 
-def _nothing_of_actions(result: object) -> object:
-    """Returns what Fire is to print: nothing for a parsed command."""
+def _hide_actions(result: object) -> object:
+    """Returns the object that Fire prints: None for an action."""
     return None if isinstance(result, sessions.Action) else result
 
 
 def _wants_json(arguments: abc.Sequence[str]) -> bool:
-    """Returns whether failures are to be printed as JSON, too."""
+    """Returns whether errors have to be printed as JSON."""
     line = " ".join(arguments)
     return "--output=json" in line or "--output json" in line
 
 
-def _print_failure(error: errors.LaburnumsillError, as_json: bool) -> None:
+def _print_error(error: errors.LaburnumsillError, as_json: bool) -> None:
     if as_json:
         print(output.failure_json(error), file=sys.stderr)
     else:
--- a/laburnumsill/cli/output.py
+++ b/laburnumsill/cli/output.py
@@ -1,4 +1,4 @@
-"""Printing results as a table for people or as JSON for programs."""
+"""Formatting of results and errors as a table or as JSON."""
 
 import datetime
 import typing
@@ -10,8 +10,8 @@
 
 FORMATS = ("table", "json")
 
-_GAP = "  "
-_NONE = "-"
+_COLUMN_GAP = "  "
+_EMPTY_CELL = "-"
 _TIME_SUFFIX = "_at"
 
 Row = abc.Mapping[str, typing.Any]
@@ -27,7 +27,7 @@
 def as_table(value: object) -> str:
     """Returns a value as a table.
 
-    A list of records gets a line each, a record a line a field.
+    A list of records has a row per record, a single record a line per field.
 
     Examples:
         >>> print(as_table([{"vm": "vm1", "ready": True}, {"vm": "vm22"}]))
@@ -45,18 +45,18 @@
 
 
 def failure_line(error: errors.LaburnumsillError) -> str:
-    """Returns one line that tells of a failure."""
+    """Returns an error as one line of text."""
     pairs = " ".join(
         f"{key}={_cell(value)}"
         for key, value in error.context.items()
         if value is not None
     )
-    ending = f" ({pairs})" if pairs else ""
-    return " ".join(f"{error.title}: {error.detail}{ending}".split())
+    suffix = f" ({pairs})" if pairs else ""
+    return " ".join(f"{error.title}: {error.detail}{suffix}".split())
 
 
 def failure_json(error: errors.LaburnumsillError) -> str:
-    """Returns a failure as one line of JSON."""
+    """Returns an error as one line of JSON."""
     return orjson.dumps(
         {"error": error.slug, "detail": error.detail, **error.context}
     ).decode()
@@ -72,7 +72,7 @@
         max(len(cell) for cell in column) for column in zip(*lines, strict=True)
     ]
     return "\n".join(
-        _GAP.join(
+        _COLUMN_GAP.join(
             cell.ljust(width) for cell, width in zip(line, widths, strict=True)
         ).rstrip()
         for line in lines
@@ -82,22 +82,22 @@
 def _fields(record: Row) -> str:
     width = max((len(name) for name in record), default=0)
     return "\n".join(
-        f"{name.ljust(width)}{_GAP}{_field(name, value)}"
+        f"{name.ljust(width)}{_COLUMN_GAP}{_field(name, value)}"
         for name, value in record.items()
     )
 
 
 def _field(name: str, value: object) -> str:
-    """Returns the text of a named value; points of time end in ``_at``."""
+    """Returns the text of a field; a name that ends in ``_at`` is a time."""
     if name.endswith(_TIME_SUFFIX) and isinstance(value, int | float):
-        point = datetime.datetime.fromtimestamp(value, datetime.UTC)
-        return point.isoformat(timespec="seconds").replace("+00:00", "Z")
+        time = datetime.datetime.fromtimestamp(value, datetime.UTC)
+        return time.isoformat(timespec="seconds").replace("+00:00", "Z")
     return _cell(value)
 
 
 def _cell(value: object) -> str:
     if value is None or value == "" or value == []:
-        return _NONE
+        return _EMPTY_CELL
     if isinstance(value, bool):
         return "yes" if value else "no"
     if isinstance(value, float):
--- a/laburnumsill/cli/request_commands.py
+++ b/laburnumsill/cli/request_commands.py
@@ -1,4 +1,4 @@
-"""`laburnumsill request`: send one to a service, see what became of it."""
+"""`laburnumsill request`: send a request to a service, show its outcome."""
 
 from fire import decorators
 
@@ -36,13 +36,13 @@
         Args:
             service: The service.
             path: The path and query at the backend server.
-            method: The HTTP method; POST with a body, else GET.
+            method: The HTTP method; default: POST with a body, else GET.
             body: The body.
-            request_class: The request's class; the service's first if left
-                out.
+            request_class: The request's class; default: the first class of
+                the service.
             account: The client account.
-            timeout_ms: Milliseconds until its deadline.
-            key: The Idempotency-Key; a fresh one if left out.
+            timeout_ms: Timeout of the request in milliseconds.
+            key: The Idempotency-Key; a new one if left out.
         """
 
         def run() -> None:
@@ -54,7 +54,7 @@
             if timeout_ms is not None:
                 number = values.whole_number("--timeout-ms", timeout_ms, 1)
                 headers["Laburnumsill-Timeout-Ms"] = str(number)
-            target = f"/v1/services/{sessions.quoted(service)}/"
+            target = f"/v1/services/{sessions.quote_segment(service)}/"
             call = clients.Call(
                 method or ("POST" if body else "GET"),
                 target + path.removeprefix("/"),
@@ -70,26 +70,31 @@
     def show(
         self, key: str, service: str | None = None, account: str | None = None
     ) -> sessions.Action:
-        """Shows what became of a not-repeatable or durable request.
+        """Shows the state of a not-repeatable or durable request.
 
         Args:
-            key: Its Idempotency-Key.
-            service: Its service.
-            account: Its client account, if it was sent with one.
+            key: The request's Idempotency-Key.
+            service: The request's service.
+            account: The request's client account, if it was sent with one.
         """
 
         def run() -> None:
-            found = self._session.get(
-                f"/v1/requests/{sessions.quoted(key)}",
-                service=values.text("--service", service),
+            state = self._session.get(
+                f"/v1/requests/{sessions.quote_segment(key)}",
+                service=values.required_text("--service", service),
                 account=account,
             )
-            self._session.show(found)
+            self._session.show(state)
 
         return sessions.Action(run)
 
     def _show(self, answer: clients.Answer, key: str) -> None:
-        """Prints an answer, and raises what its outcome stands for."""
+        """Prints an answer.
+
+        Raises:
+            failures.UnansweredError: The outcome of the request is unknown.
+            failures.RefusedError: The answer has an error status.
+        """
         outcome = answer.headers.get(
             clients.OUTCOME_HEADER, clients.OUTCOME_UNKNOWN
         )
--- a/laburnumsill/cli/session.py
+++ b/laburnumsill/cli/session.py
@@ -1,4 +1,4 @@
-"""What all commands share: the VMs, the output and a deadline."""
+"""State shared by all commands: the VMs, the output format, the timeout."""
 
 import dataclasses
 import os
@@ -22,11 +22,11 @@
 
 
 class Action:
-    """A command that was parsed and is still to be run.
+    """A parsed command that has not been executed yet.
 
-    Fire runs a command before it has looked at all arguments. So commands
-    return an action, which is run once nothing is left over: a misspelt flag
-    never changes anything.
+    Fire calls a command before it has checked all arguments. Commands
+    therefore return an action, which is executed after all arguments were
+    consumed: a misspelt flag never changes anything.
     """
 
     def __init__(self, run: Run) -> None:
@@ -37,18 +37,18 @@
 
 
 def execute(action: Action) -> None:
-    """Runs a parsed command."""
+    """Executes a parsed command."""
     action._execute()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Session:
-    """The global options, checked when they are used.
+    """The unparsed global flags, which are validated when they are used.
 
     Attributes:
-        vms: The VMs, as given.
-        format: How results are printed, as given.
-        timeout: Seconds for the whole command, as given.
+        vms: The value of ``--vms``.
+        format: The value of ``--output``.
+        timeout: The value of ``--timeout``: seconds for the whole command.
     """
 
     vms: str | None
@@ -63,7 +63,7 @@
         return clients.Client(addresses, time.monotonic() + timeout_s)
 
     def get(self, path: str, **query: str | None) -> typing.Any:
-        """Returns the values that a path reads as."""
+        """Returns the decoded JSON answer to a GET."""
         call = clients.Call("GET", path + query_text(query))
         return self.client().call(call).json()
 
@@ -74,24 +74,24 @@
         body: object = None,
         key: str | None = None,
         *,
-        resendable: bool = True,
+        idempotent: bool = True,
     ) -> typing.Any:
-        """Returns the answer to a call that changes something.
+        """Sends a call that changes state; returns the decoded JSON answer.
 
         Args:
             method: The HTTP method.
             path: The path.
             body: Values to send as JSON, None for none.
-            key: The Idempotency-Key, None for a fresh one.
-            resendable: Whether the VMs know a resend by its key, or it is
-                harmless.
+            key: The Idempotency-Key, None for a new one.
+            idempotent: Whether the VMs recognize a resend by its key, or
+                sending the call twice has the effect of sending it once.
         """
         call = clients.Call(
             method,
             path,
             b"" if body is None else orjson.dumps(body),
             {KEY_HEADER: key or ids.fresh("cli")},
-            resendable,
+            idempotent,
         )
         return self.client().call(call).json()
 
@@ -100,7 +100,7 @@
 
         Args:
             value: The result.
-            view: What a table shows of it; JSON shows it whole.
+            view: Converts the result for a table; JSON has all fields.
         """
         format = values.one_of("--output", self.format, output.FORMATS)
         if format == "json":
@@ -111,19 +111,19 @@
             print(output.as_table(value))
 
     def show_list(self, answer: typing.Any, view: View | None = None) -> None:
-        """Prints a list, and in a table what else the answer says.
+        """Prints a list of records; a table is followed by the other fields.
 
         Args:
-            answer: The list, alone or among other fields.
-            view: What a table shows of the list.
+            answer: The list, or an object that has it as a field.
+            view: Converts the list for a table.
         """
-        found = records(answer)
-        if self.as_json or found is answer:
+        listed = records(answer)
+        if self.as_json or listed is answer:
             self.show(answer, view if isinstance(answer, list) else None)
             return
-        self.show(found, view)
+        self.show(listed, view)
         for name, value in answer.items():
-            if value and value is not found:
+            if value and value is not listed:
                 self.show({name: value})
 
     @property
@@ -133,7 +133,7 @@
 
 
 def query_text(query: abc.Mapping[str, str | None]) -> str:
-    """Returns a query string of what is given, empty without any.
+    """Returns the query string of the given parameters, or an empty string.
 
     Examples:
         >>> query_text({"account": "a b", "state": None})
@@ -143,13 +143,13 @@
     return "?" + urllib.parse.urlencode(given) if given else ""
 
 
-def quoted(part: str) -> str:
-    """Returns one segment of a path."""
+def quote_segment(part: str) -> str:
+    """Returns a path segment, percent-encoded."""
     return urllib.parse.quote(part, safe="")
 
 
 def records(answer: typing.Any) -> typing.Any:
-    """Returns the list of records in an answer, else the answer.
+    """Returns the only list of records in an answer, else the answer.
 
     Examples:
         >>> records({"jobs": [{"job_id": "north.1"}], "unavailable": []})
--- a/laburnumsill/cli/site_commands.py
+++ b/laburnumsill/cli/site_commands.py
@@ -14,7 +14,7 @@
 
 
 class AccountCommands:
-    """Client accounts: guarantees, shares, use."""
+    """Client accounts: guarantees, weights, use."""
 
     def __init__(self, session: sessions.Session) -> None:
         self._session = session
@@ -23,8 +23,8 @@
         """Lists the client accounts."""
 
         def run() -> None:
-            found = self._session.get("/v1/accounts")
-            self._session.show_list(found, views.accounts)
+            answer = self._session.get("/v1/accounts")
+            self._session.show_list(answer, views.accounts)
 
         return sessions.Action(run)
 
@@ -37,14 +37,14 @@
         """
 
         def run() -> None:
-            path = f"/v1/accounts/{sessions.quoted(name)}"
+            path = f"/v1/accounts/{sessions.quote_segment(name)}"
             self._session.show(self._session.get(path), views.account)
 
         return sessions.Action(run)
 
 
 class MemberCommands:
-    """Backend servers and workers, as one VM knows them."""
+    """Backend servers and workers in the member table of one VM."""
 
     def __init__(self, session: sessions.Session) -> None:
         self._session = session
@@ -54,12 +54,12 @@
         """Lists the backend servers.
 
         Args:
-            service: Only this service's.
+            service: Only backend servers of this service.
         """
 
         def run() -> None:
-            found = self._session.get("/v1/backend-servers", service=service)
-            self._session.show_list(found)
+            answer = self._session.get("/v1/backend-servers", service=service)
+            self._session.show_list(answer)
 
         return sessions.Action(run)
 
@@ -68,12 +68,12 @@
         """Lists the workers.
 
         Args:
-            domain: Only this failure domain's.
+            domain: Only workers of this failure domain.
         """
 
         def run() -> None:
-            found = self._session.get("/v1/workers", domain=domain)
-            self._session.show_list(found)
+            answer = self._session.get("/v1/workers", domain=domain)
+            self._session.show_list(answer)
 
         return sessions.Action(run)
 
@@ -85,48 +85,48 @@
         self._session = session
 
     def status(self) -> sessions.Action:
-        """Shows every replica, as its own VM knows it."""
+        """Shows the status of every replica, as reported by its VM."""
 
         def run() -> None:
             client = self._session.client()
             call = clients.Call("GET", "/v1/groups")
             rows: list[dict[str, typing.Any]] = []
-            silent = []
+            unanswered = []
             for address in client.addresses:
-                answer = client.ask(address, call)
+                answer = client.query(address, call)
                 if answer is None or answer.status != _OK:
-                    silent.append(address)
+                    unanswered.append(address)
                     continue
                 rows += [
                     {"address": address, **row}
                     for row in sessions.records(answer.json())
                 ]
-            _check_any(silent, client)
+            _check_any_answered(unanswered, client)
             rows.sort(key=lambda row: (row["group"], row["address"]))
             self._session.show(
-                rows, lambda found: [views.replica(row) for row in found]
+                rows, lambda replicas: [views.replica(row) for row in replicas]
             )
-            if silent:
+            if unanswered:
                 raise failures.NotAllGoodError(
-                    "no answer from " + ", ".join(silent)
+                    "no answer from " + ", ".join(unanswered)
                 )
 
         return sessions.Action(run)
 
     @decorators.SetParseFn(str)
     def transfer(self, group: str, to: str | None = None) -> sessions.Action:
-        """Hands a group's lead over to another VM.
+        """Transfers a group's leadership to another VM.
 
         Args:
             group: The group.
-            to: The VM that is to lead; any if left out.
+            to: The VM that becomes leader; any if left out.
         """
 
         def run() -> None:
-            path = f"/v1/groups/{sessions.quoted(group)}/transfer"
-            # Without a target a second transfer would move the lead again.
+            path = f"/v1/groups/{sessions.quote_segment(group)}/transfer"
+            # Without a target, a resent call would transfer leadership again.
             answer = self._session.change(
-                "POST", path, {"to": to}, resendable=to is not None
+                "POST", path, {"to": to}, idempotent=to is not None
             )
             self._session.show(answer)
 
@@ -136,19 +136,19 @@
     def replace(
         self, group: str, old: str | None = None, new: str | None = None
     ) -> sessions.Action:
-        """Replaces a VM that is lost for good in a group.
+        """Replaces a voter of a group whose VM is permanently lost.
 
         Args:
             group: The group.
             old: The VM that is lost.
-            new: The VM that takes its place.
+            new: The VM that replaces it.
         """
 
         def run() -> None:
-            path = f"/v1/groups/{sessions.quoted(group)}/replace"
+            path = f"/v1/groups/{sessions.quote_segment(group)}/replace"
             body = {
-                "old": values.text("--old", old),
-                "new": values.text("--new", new),
+                "old": values.required_text("--old", old),
+                "new": values.required_text("--new", new),
             }
             answer = self._session.change("POST", path, body)
             self._session.show(answer)
@@ -157,27 +157,27 @@
 
 
 def check(session: sessions.Session) -> None:
-    """Shows whether each VM is ready, or why it is not.
+    """Shows the readiness of each VM, with the reason if it is not ready.
 
     Raises:
-        failures.NotAllGoodError: Some VM is not ready.
+        failures.NotAllGoodError: At least one VM is not ready.
         failures.NoVmAnsweredError: No VM answered.
     """
     client = session.client()
     call = clients.Call("GET", "/readyz")
     rows = []
-    silent = []
+    unanswered = []
     for address in client.addresses:
-        answer = client.ask(address, call)
+        answer = client.query(address, call)
         if answer is None:
-            silent.append(address)
+            unanswered.append(address)
             rows.append(_readiness(address, "", False, "no answer"))
             continue
         body = answer.json()
         ready = answer.status == _OK
         reason = "" if ready else body.get("detail", "")
         rows.append(_readiness(address, body.get("vm", ""), ready, reason))
-    _check_any(silent, client)
+    _check_any_answered(unanswered, client)
     session.show(rows)
     not_ready = [row["address"] for row in rows if not row["ready"]]
     if not_ready:
@@ -192,8 +192,8 @@
     return {"address": address, "vm": vm, "ready": ready, "reason": reason}
 
 
-def _check_any(silent: list[str], client: clients.Client) -> None:
-    if len(silent) == len(client.addresses):
+def _check_any_answered(unanswered: list[str], client: clients.Client) -> None:
+    if len(unanswered) == len(client.addresses):
         raise failures.NoVmAnsweredError(
             "no answer from " + ", ".join(client.addresses)
         )
--- a/laburnumsill/cli/tests/test_explaining.py
+++ b/laburnumsill/cli/tests/test_explaining.py
@@ -1,4 +1,4 @@
-"""`laburnumsill job explain`."""
+"""Tests of `laburnumsill job explain`."""
 
 import orjson
 
@@ -17,7 +17,7 @@
 """
 
 
-def test_a_job_is_explained_from_files(tmp_path, capsys):
+def test_job_is_explained_from_log_files(tmp_path, capsys):
     path = tmp_path / "core1.log"
     path.write_text(LOG)
     arguments = ["--output", "json", "job", "explain", "j", "--logs", str(path)]
@@ -32,7 +32,7 @@
     ]
 
 
-def test_all_jobs_are_added_up(tmp_path, capsys):
+def test_all_jobs_are_summed_by_group(tmp_path, capsys):
     path = tmp_path / "core1.log"
     path.write_text(LOG)
     arguments = ["job", "explain", "--logs", str(path)]
@@ -40,7 +40,7 @@
     assert "queue q" in capsys.readouterr().out
 
 
-def test_a_job_that_the_logs_lack_is_said_to_be_missing(tmp_path, capsys):
+def test_job_missing_from_logs_is_refused(tmp_path, capsys):
     path = tmp_path / "core1.log"
     path.write_text(LOG)
     arguments = ["job", "explain", "k", "--logs", str(path)]
@@ -48,7 +48,7 @@
     assert "k" in capsys.readouterr().err
 
 
-def test_a_log_that_is_not_there_is_bad_usage(tmp_path, capsys):
+def test_missing_log_file_is_bad_usage(tmp_path, capsys):
     arguments = ["job", "explain", "--logs", str(tmp_path / "none.log")]
     assert main.run(arguments) == failures.EXIT_USAGE
     assert "none.log" in capsys.readouterr().err
--- a/laburnumsill/cli/tests/test_main.py
+++ b/laburnumsill/cli/tests/test_main.py
@@ -17,10 +17,10 @@
 
 
 class Vm:
-    """A stand-in for a VM: answers from a script, records what came."""
+    """A fake VM that sends prepared answers and records the requests."""
 
     def __init__(self):
-        self.answers, self.seen = [], []
+        self.answers, self.received = [], []
         vm = self
 
         class Handler(http.server.BaseHTTPRequestHandler):
@@ -28,7 +28,7 @@
                 length = int(self.headers.get("Content-Length", 0))
                 body = self.rfile.read(length)
                 headers = {k.lower(): v for k, v in self.headers.items()}
-                vm.seen.append((self.command, self.path, headers, body))
+                vm.received.append((self.command, self.path, headers, body))
                 status, reply, extra = vm.answers.pop(0)
                 if status == 0:
                     self.close_connection = True
@@ -65,24 +65,25 @@
 
     def keys(self):
         return {
-            headers.get("idempotency-key") for _, _, headers, _ in self.seen
+            headers.get("idempotency-key") for _, _, headers, _ in self.received
         }
 
 
 @pytest.fixture
 def vms():
-    made = [Vm(), Vm()]
-    yield made
-    for vm in made:
+    fake_vms = [Vm(), Vm()]
+    yield fake_vms
+    for vm in fake_vms:
         vm.server.shutdown()
         vm.server.server_close()
 
 
 @pytest.fixture
-def dead():
-    with socket.socket() as held:
-        held.bind(("127.0.0.1", 0))
-        yield f"127.0.0.1:{held.getsockname()[1]}"
+def dead_address():
+    """Yields an address that refuses connections: bound, not listening."""
+    with socket.socket() as bound:
+        bound.bind(("127.0.0.1", 0))
+        yield f"127.0.0.1:{bound.getsockname()[1]}"
 
 
 def run(*arguments, at=()):
@@ -95,10 +96,10 @@
     return run("config", "push", *FILES, "--expected-version=0", *more, at=at)
 
 
-def test_push_sends_the_merged_files_with_a_key(vms, capsys):
+def test_push_sends_merged_files_with_a_key(vms, capsys):
     vms[0].reply({"version": 1, "digest": "d", "operator": "ann"})
     assert push("--operator=ann", "--output=json", at=vms) == 0
-    method, path, headers, raw = vms[0].seen[0]
+    method, path, headers, raw = vms[0].received[0]
     sent = json.loads(raw)
     assert (method, path) == ("PUT", "/v1/config")
     assert headers["idempotency-key"]
@@ -107,15 +108,15 @@
     assert json.loads(capsys.readouterr().out)["version"] == 1
 
 
-def test_the_next_vm_is_tried_with_the_same_key(vms, dead, capsys):
+def test_the_next_vm_is_tried_with_the_same_key(vms, dead_address, capsys):
     vms[0].drop()
     vms[1].reply({"version": 1})
-    assert push(at=(dead, *vms)) == 0
+    assert push(at=(dead_address, *vms)) == 0
     assert len(vms[0].keys() | vms[1].keys()) == 1
     assert "version" in capsys.readouterr().out
 
 
-def test_a_vm_that_says_later_is_passed_over_and_asked_again(vms):
+def test_unavailable_vm_is_skipped_and_retried(vms):
     for vm in vms:
         vm.problem("no-quorum", 503)
     vms[0].problem("proposal-lost", 503)
@@ -124,23 +125,23 @@
     assert len(vms[0].keys() | vms[1].keys()) == 1
 
 
-def test_a_conflict_is_printed_with_the_winner(vms, capsys):
+def test_version_conflict_names_the_accepted_version(vms, capsys):
     vms[0].problem("version-conflict", 409, version=3, operator="ben")
     assert push(at=vms) == 1
     err = capsys.readouterr().err
     assert "told version-conflict" in err
     assert "operator=ben" in err
     assert err.count("\n") == 1
-    assert not vms[1].seen
+    assert not vms[1].received
 
 
-def test_unknown_outcome_names_the_key_to_resend_with(vms, dead, capsys):
+def test_unknown_outcome_prints_the_key_for_a_resend(vms, dead_address, capsys):
     vms[0].drop()
-    assert push("--key=mine", at=(vms[0], dead)) == 4
+    assert push("--key=mine", at=(vms[0], dead_address)) == 4
     assert "--key=mine" in capsys.readouterr().err
 
 
-def test_what_may_have_been_done_is_not_called_refused(vms):
+def test_unknown_outcome_is_not_reported_as_refused(vms):
     vms[0].drop()
     for _ in range(100):
         vms[1].problem("no-quorum", 503)
@@ -148,23 +149,23 @@
     assert push("--timeout=1", at=vms) == 4
 
 
-def test_a_transfer_to_any_vm_is_never_sent_twice(vms):
+def test_transfer_without_target_is_never_resent(vms):
     vms[0].drop()
     assert run("group", "transfer", "root", at=vms) == 4
-    assert not vms[1].seen
+    assert not vms[1].received
     vms[0].problem("proposal-lost", 503)
     assert run("group", "transfer", "root", at=vms) == 4
-    assert not vms[1].seen
+    assert not vms[1].received
     vms[0].drop()
     vms[1].reply({})
     assert run("group", "transfer", "root", "--to=vm2", at=vms) == 0
 
 
-def test_no_vm_answers(dead, capsys):
-    assert run("job", "list", at=(dead,)) == 3
-    assert run("check", at=(dead,)) == 3
-    assert run("group", "status", at=(dead,)) == 3
-    assert push(at=(dead,)) == 3
+def test_unreachable_vms_have_their_own_exit_code(dead_address, capsys):
+    assert run("job", "list", at=(dead_address,)) == 3
+    assert run("check", at=(dead_address,)) == 3
+    assert run("group", "status", at=(dead_address,)) == 3
+    assert push(at=(dead_address,)) == 3
     assert "Traceback" not in capsys.readouterr().err
 
 
@@ -195,22 +196,22 @@
         ("request", "show", "k"),
     ],
 )
-def test_bad_usage_or_file(arguments, capsys, monkeypatch):
+def test_invalid_usage_or_file(arguments, capsys, monkeypatch):
     monkeypatch.delenv("LABURNUMSILL_VMS", raising=False)
     assert main.run(arguments) == 2
     assert "Traceback" not in capsys.readouterr().err
 
 
-def test_a_policy_that_does_not_exist(tmp_path, capsys):
+def test_unknown_policy_is_refused(tmp_path, capsys):
     path = tmp_path / "site.toml"
     path.write_text('requests.chooser = "best"\n')
     assert run("config", "check", BASE, f"--overlay={path}") == 2
     assert "requests.chooser" in capsys.readouterr().err
 
 
-def test_a_misspelt_flag_changes_nothing(vms):
+def test_misspelt_flag_sends_nothing(vms):
     assert push("--opertor=ann", at=vms) == 2
-    assert not vms[0].seen
+    assert not vms[0].received
 
 
 def test_help(capsys):
@@ -243,12 +244,12 @@
     differing = json.loads(capsys.readouterr().out)
     assert differing == [{"key": "jobs.lease_s", "accepted": 99, "file": 10.0}]
     assert run("config", "show", "--site=tana-shore", "--in-force") == 0
-    assert vms[0].seen[1][1] == "/v1/config?source=in-force"
+    assert vms[0].received[1][1] == "/v1/config?source=in-force"
     assert "jobs.lease_s" in capsys.readouterr().out
     assert run("config", "show", "--site=fingal") == 1
 
 
-def test_vms_from_the_list_of_the_daemons(vms, tmp_path):
+def test_vms_are_read_from_the_list_of_vms(vms, tmp_path):
     path = tmp_path / "vms.toml"
     entry = f'[[vms]]\nvm_id = "vm1"\nclient_address = "{vms[0].address}"\n'
     path.write_text(entry)
@@ -278,7 +279,7 @@
     submit = ("job", "submit", "--account=a", "--tasks=2", "--accelerators=8")
     more = ("--run-s=5", "--guaranteed", "--command=train 7", "--cores=4")
     assert run(*submit, *more, at=vms) == 0
-    assert json.loads(vms[0].seen[0][3]) == {
+    assert json.loads(vms[0].received[0][3]) == {
         "account": "a",
         "tasks": 2,
         "accelerators": 8,
@@ -290,14 +291,14 @@
     listed = [{"job_id": "north.1", "spec": {"tasks": 2}, "started_at": 0.5}]
     vms[0].reply({"jobs": listed, "unavailable": ["south"]})
     assert run("job", "list", "--account=a", at=vms) == 0
-    assert vms[0].seen[1][1] == "/v1/jobs?account=a"
+    assert vms[0].received[1][1] == "/v1/jobs?account=a"
     shown = capsys.readouterr().out
     assert "JOB ID" in shown
     assert "1970-01-01T00:00:00Z" in shown
     assert "south" in shown
     vms[0].reply({"state": "cancelled"})
     assert run("job", "cancel", "north.1", at=vms) == 0
-    assert vms[0].seen[2][:2] == ("DELETE", "/v1/jobs/north.1")
+    assert vms[0].received[2][:2] == ("DELETE", "/v1/jobs/north.1")
     members = {"vm": "vm1", "problem": 2, "answered_by": 3}
     vms[0].problem("not-found", 404, **members)
     assert run("job", "show", "north.2", at=vms) == 1
@@ -312,7 +313,7 @@
     vms[0].reply({"a": 1}, status, Laburnumsill_Outcome=outcome)
     send = ("request", "send", "booking", "/confirm?hut=7", "--body=x")
     assert run(*send, "--request-class=c", "--key=0123", at=vms) == code
-    method, path, headers, body = vms[0].seen[0]
+    method, path, headers, body = vms[0].received[0]
     assert (method, path, body) == (
         "POST",
         "/v1/services/booking/confirm?hut=7",
@@ -323,34 +324,34 @@
     assert outcome in capsys.readouterr().out
 
 
-def test_a_request_of_unknown_outcome(vms):
+def test_request_with_unknown_outcome(vms):
     vms[0].reply({}, 504, Laburnumsill_Outcome="unknown")
     assert run("request", "send", "booking", at=vms) == 4
 
 
-def test_a_problem_of_the_backend_server_itself_is_final(vms):
+def test_problem_from_the_backend_server_is_final(vms):
     extra = {"Content-Type": "application/problem+json"}
     extra["Laburnumsill-Outcome"] = "answered"
     vms[0].answers.append((503, {"type": "theirs/unavailable"}, extra))
     assert run("request", "send", "booking", at=vms) == 1
-    assert not vms[1].seen
+    assert not vms[1].received
 
 
-def test_check_and_group_status_ask_every_vm(vms, dead, capsys):
+def test_check_and_group_status_query_every_vm(vms, dead_address, capsys):
     vms[0].reply({"vm": "vm1", "ready": True})
     vms[1].problem("not-ready", 503, vm="vm2")
     assert run("check", at=vms) == 1
     assert "told not-ready" in capsys.readouterr().out
     row = {"group": "root", "role": "leader", "voters": ["vm1", "vm2"]}
     vms[0].reply([row])
-    assert run("group", "status", at=(vms[0], dead)) == 1
+    assert run("group", "status", at=(vms[0], dead_address)) == 1
     shown = capsys.readouterr()
     assert "leader" in shown.out
     assert "vm1,vm2" in shown.out
-    assert dead in shown.err
+    assert dead_address in shown.err
 
 
-def test_an_answer_without_json_is_no_traceback(vms, capsys):
+def test_answer_without_json_raises_refused_error(vms, capsys):
     vms[0].answers.append((200, "text", {"Content-Type": "text/plain"}))
     assert run("account", "show", "a", at=vms) == 0
     answer = clients.Answer("vm1:1", 200, {}, b"<html>")
--- a/laburnumsill/cli/values.py
+++ b/laburnumsill/cli/values.py
@@ -1,4 +1,4 @@
-"""Values of the command line: all come as text and are checked here."""
+"""Parsing and validation of command-line values, which all are strings."""
 
 import pathlib
 import typing
@@ -9,7 +9,7 @@
 from laburnumsill.config import toml_files
 
 VMS_VARIABLE = "LABURNUMSILL_VMS"
-"""The environment variable that gives the VMs where ``--vms`` does not."""
+"""The environment variable that is read if ``--vms`` is absent."""
 
 _TRUE = frozenset({"true", "yes", "1"})
 _FALSE = frozenset({"false", "no", "0"})
@@ -17,79 +17,79 @@
 
 
 class _Vm(pydantic.BaseModel):
-    """What the tool needs of an entry of the list of VMs."""
+    """The fields of an entry of the list of VMs that the tool reads."""
 
     client_address: str
 
 
 class _Vms(pydantic.BaseModel):
-    """The list of VMs that the daemons' settings share."""
+    """The file with the list of VMs, which the daemons read as well."""
 
     vms: list[_Vm] = pydantic.Field(min_length=1)
 
 
-def text(flag: str, value: str | None) -> str:
-    """Returns a text that must be given.
+def required_text(flag: str, value: str | None) -> str:
+    """Returns a required string.
 
     Raises:
-        failures.UsageError: It is missing or empty.
+        failures.UsageError: The value is missing or empty.
     """
     if not value:
-        raise _wrong(flag, value, "a value")
+        raise _usage_error(flag, value, "a value")
     return value
 
 
-def whole_number(flag: str, value: str, least: int = 0) -> int:
-    """Returns a whole number of at least `least`.
+def whole_number(flag: str, value: str, minimum: int = 0) -> int:
+    """Returns an integer of at least `minimum`.
 
     Raises:
-        failures.UsageError: It is none.
+        failures.UsageError: The value is no such integer.
     """
     try:
         number = int(value)
     except ValueError:
-        number = least - 1
-    if number < least:
-        raise _wrong(flag, value, f"a whole number of at least {least}")
+        number = minimum - 1
+    if number < minimum:
+        raise _usage_error(flag, value, f"a whole number of at least {minimum}")
     return number
 
 
 def seconds(flag: str, value: str) -> float:
-    """Returns a positive number of seconds.
+    """Returns a positive, finite number of seconds.
 
     Raises:
-        failures.UsageError: It is none.
+        failures.UsageError: The value is no such number.
     """
     try:
         number = float(value)
     except ValueError:
         number = 0.0
     if not 0 < number < float("inf"):
-        raise _wrong(flag, value, "a positive number of seconds")
+        raise _usage_error(flag, value, "a positive number of seconds")
     return number
 
 
-def truth(flag: str, value: str) -> bool:
-    """Returns a truth value; a flag without a value is true.
+def boolean(flag: str, value: str) -> bool:
+    """Returns a boolean; Fire passes a flag without a value as true.
 
     Raises:
-        failures.UsageError: It is neither.
+        failures.UsageError: The value is no boolean.
     """
     if value.lower() in _TRUE:
         return True
     if value.lower() in _FALSE:
         return False
-    raise _wrong(flag, value, "true or false")
+    raise _usage_error(flag, value, "true or false")
 
 
 def one_of(flag: str, value: str, choices: typing.Sequence[str]) -> str:
-    """Returns one of `choices`.
+    """Returns the value if it is one of `choices`.
 
     Raises:
-        failures.UsageError: It is none of them.
+        failures.UsageError: The value is not one of `choices`.
     """
     if value not in choices:
-        raise _wrong(flag, value, "one of " + ", ".join(choices))
+        raise _usage_error(flag, value, "one of " + ", ".join(choices))
     return value
 
 
@@ -97,30 +97,34 @@
     """Returns the client addresses of the VMs.
 
     Args:
-        value: ``--vms``: addresses with commas between, or a TOML file with
-            the list of VMs.
-        environment: The same, from the environment, if ``--vms`` is absent.
+        value: The value of ``--vms``: comma-separated addresses, or a TOML
+            file with the list of VMs.
+        environment: The value of `VMS_VARIABLE`, used if ``--vms`` is absent.
 
     Raises:
-        failures.UsageError: There are none, or one is no address.
-        toml_files.InvalidFileError: The file is no list of VMs.
+        failures.UsageError: No address is given, or one is invalid.
+        toml_files.InvalidFileError: The file has no valid list of VMs.
     """
     source = value or environment
     if not source:
-        raise _wrong("--vms", value, f"addresses here or in {VMS_VARIABLE}")
+        raise _usage_error(
+            "--vms", value, f"addresses here or in {VMS_VARIABLE}"
+        )
     if source.endswith(".toml"):
         path = pathlib.Path(source)
-        found = toml_files.validated(_Vms, toml_files.read(path), path)
-        return [vm.client_address for vm in found.vms]
+        vm_list = toml_files.validated(_Vms, toml_files.read(path), path)
+        return [vm.client_address for vm in vm_list.vms]
     listed = [part.strip() for part in source.split(",") if part.strip()]
     for address in listed:
         host, _, port = address.rpartition(":")
-        good = host and port.isdecimal() and int(port) <= _MAX_PORT
-        if not good:
-            raise _wrong("--vms", address, "host:port or a .toml file")
+        valid = host and port.isdecimal() and int(port) <= _MAX_PORT
+        if not valid:
+            raise _usage_error("--vms", address, "host:port or a .toml file")
     return listed
 
 
-def _wrong(flag: str, value: str | None, expected: str) -> failures.UsageError:
+def _usage_error(
+    flag: str, value: str | None, expected: str
+) -> failures.UsageError:
     got = "nothing" if value is None else repr(value)
     return failures.UsageError(f"{flag}: got {got}, expected {expected}")
--- a/laburnumsill/cli/views.py
+++ b/laburnumsill/cli/views.py
@@ -1,4 +1,4 @@
-"""What a table shows of an answer; JSON output shows all of it."""
+"""Selection of the fields that tables show; JSON output has all fields."""
 
 import typing
 
@@ -32,23 +32,23 @@
 
 
 def replica(record: Record) -> Record:
-    """Returns what a table shows of a replica."""
-    return _picked(record, _REPLICA_FIELDS)
+    """Returns the table fields of a replica."""
+    return _select(record, _REPLICA_FIELDS)
 
 
 def job(record: Record) -> Record:
-    """Returns what a table shows of a job in a list."""
-    return _picked({**record.get("spec", {}), **record}, _JOB_FIELDS)
+    """Returns the table fields of a job in a list."""
+    return _select({**record.get("spec", {}), **record}, _JOB_FIELDS)
 
 
-def whole_job(record: Record) -> Record:
-    """Returns a job with what was submitted among its own fields."""
-    rest = {name: value for name, value in record.items() if name != "spec"}
-    return {**record.get("spec", {}), **rest}
+def job_details(record: Record) -> Record:
+    """Returns all fields of a job, with those of its specification inlined."""
+    other = {name: value for name, value in record.items() if name != "spec"}
+    return {**record.get("spec", {}), **other}
 
 
 def account(record: Record) -> list[Record]:
-    """Returns a line for each failure domain of an account.
+    """Returns a table row for each failure domain of an account.
 
     Examples:
         >>> entry = {"guarantee": {"racks": 1, "pairs": 0}, "shortfall": 0}
@@ -59,7 +59,7 @@
         {
             "name": record.get("name"),
             "domain": domain,
-            "guarantee": _shape(entry.get("guarantee", {})),
+            "guarantee": _guarantee_text(entry.get("guarantee", {})),
             **{name: entry.get("use", {}).get(name) for name in _USE_FIELDS},
             "shortfall": entry.get("shortfall"),
         }
@@ -68,15 +68,15 @@
 
 
 def accounts(records: list[Record]) -> list[Record]:
-    """Returns the lines of several accounts."""
-    return [line for record in records for line in account(record)]
+    """Returns the table rows of several accounts."""
+    return [row for record in records for row in account(record)]
 
 
-def _shape(guarantee: Record) -> str:
+def _guarantee_text(guarantee: Record) -> str:
     return ", ".join(
         f"{number} {cell}" for cell, number in guarantee.items() if number
     )
 
 
-def _picked(record: Record, names: typing.Iterable[str]) -> Record:
+def _select(record: Record, names: typing.Iterable[str]) -> Record:
     return {name: record[name] for name in names if name in record}
