--- a/laburnumsill/api/members.py
+++ b/laburnumsill/api/members.py
@@ -271,13 +271,13 @@
         return problems.json_response({"left": True})
 
     def _list_members(self, kind: str) -> list[dict[str, object]]:
-        found = sorted(
+        listed = sorted(
             self._table.known(kind),
             key=lambda known: entries.member_id(known.member),
         )
         return [
             {**dataclasses.asdict(known.member), "usable": known.usable}
-            for known in found
+            for known in listed
         ]
 
 
--- a/laburnumsill/api/services.py
+++ b/laburnumsill/api/services.py
@@ -235,7 +235,7 @@
 
 
 def _request_head(
-    scope: Scope, request_id: str, arrived: float
+    scope: Scope, request_id: str, arrived_at: float
 ) -> messages.RequestHead:
     received = tuple((name.lower(), value) for name, value in scope["headers"])
     if sum(len(name) + len(value) for name, value in received) > (
@@ -255,7 +255,7 @@
         scope["method"],
         target,
         received,
-        arrived,
+        arrived_at,
     )
 
 
--- a/laburnumsill/cli/client.py
+++ b/laburnumsill/cli/client.py
@@ -110,7 +110,7 @@
 
     @property
     def outcome_unknown(self) -> bool:
-        """Whether the call may have been executed, by the VM's answer."""
+        """Whether the answer leaves open if the call was executed."""
         if self.headers.get(OUTCOME_HEADER) == OUTCOME_UNKNOWN:
             return True
         return self.refusal().problem in failures.UNKNOWN_SLUGS
@@ -264,7 +264,7 @@
         self.last_retryable: Answer | None = None
 
     def record_unanswered(self, address: str, error: Exception) -> None:
-        """Records an attempt that may have been sent but was not answered.
+        """Records that a call may have been sent and got no answer.
 
         Raises:
             failures.UnansweredError: The call is not idempotent.
--- a/laburnumsill/cli/help_text.py
+++ b/laburnumsill/cli/help_text.py
@@ -1,8 +1,8 @@
 """Corrections to Fire's help: plain text, without a pager process.
 
-Fire lists the metadata that its decorators attach to functions as a group of
-commands, and does not list the global flags in the help of a command. This
-module removes the one and adds the other.
+Fire shows the metadata of its decorators as a group of commands, and omits the
+global flags in the help of a command. This module removes the metadata and
+appends the global flags and exit codes.
 """
 
 import os
