--- a/laburnumsill/api/configuration.py
+++ b/laburnumsill/api/configuration.py
@@ -43,7 +43,7 @@
         vm: The VM.
         domain: Its failure domain.
         reachable: Whether the last contact is at most one second old.
-        version: The version in force, 0 if the VM sent no notice.
+        version: The version in force, 0 if none is known.
         digest: The digest of the version.
     """
 
@@ -339,8 +339,8 @@
     ) -> configuration.PushAccepted:
         """Proposes a push as a difference.
 
-        Proposes the complete body instead if there is no difference, or if
-        the group cannot apply it.
+        Proposes the complete body instead if `change` is None, or if the
+        difference cannot be applied.
 
         Raises:
             errors.ProposalLostError: The push may have been accepted.
@@ -400,8 +400,8 @@
 
     Returns:
         None if the complete body has to be proposed: the previous version is
-        unavailable, the difference is not smaller, or the body is too large,
-        which the root group refuses.
+        unavailable, the difference is not smaller than the body, or the body
+        is too large and has to be refused for its size.
     """
     too_large = len(command.body) > configuration.MAX_BODY_BYTES
     if previous is None or too_large:
