--- a/laburnumsill/requests/accept.py
+++ b/laburnumsill/requests/accept.py
@@ -43,7 +43,7 @@
         request: messages.RoutedRequest,
         configuration: models.Configuration,
     ) -> messages.Answer:
-        """Commits a request and returns its acceptance or known result.
+        """Commits a request and returns its acceptance or recorded result.
 
         Raises:
             errors.OverloadedError: The request was not accepted, and no
@@ -127,4 +127,4 @@
         return messages.Answer(messages.Outcome.ACCEPTED, 202, headers, body)
     if state is durable.DurableState.SUCCEEDED:
         return messages.Answer(messages.Outcome.ANSWERED, 200, headers, body)
-    raise DurableExpiredError(f"it ended as {state}", state=str(state))
+    raise DurableExpiredError(f"the request ended as {state}", state=str(state))
--- a/laburnumsill/requests/adaptive.py
+++ b/laburnumsill/requests/adaptive.py
@@ -66,7 +66,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Control:
+class _ControlLoop:
     """The state of one server's control loop.
 
     Attributes:
@@ -90,7 +90,7 @@
     latencies: list[float] = dataclasses.field(default_factory=list)
 
 
-class Controls:
+class ControlLoops:
     """The control loops of all servers.
 
     Args:
@@ -102,22 +102,24 @@
         self._anchor = anchor
         self._target_s = target_s
         self._next_period_at = 0.0
-        self._controls: weakref.WeakKeyDictionary[
-            servers.ServerState, _Control
+        self._control_loops: weakref.WeakKeyDictionary[
+            servers.ServerState, _ControlLoop
         ] = weakref.WeakKeyDictionary()
 
     def limit(self, state: servers.ServerState, initial: float) -> float:
         """Returns the limit of a server; a new server starts at `initial`."""
-        control = self._controls.get(state)
+        control = self._control_loops.get(state)
         if control is None:
             max_limit = max(initial, float(state.server.slots))
-            control = self._controls[state] = _Control(initial, max_limit)
+            control = self._control_loops[state] = _ControlLoop(
+                initial, max_limit
+            )
         control.peak_in_flight = max(control.peak_in_flight, state.in_flight)
         return control.limit
 
     def observe(self, state: servers.ServerState, latency_s: float) -> None:
         """Records a latency, measured from the send."""
-        control = self._controls.get(state)
+        control = self._control_loops.get(state)
         if control is not None:
             control.latencies.append(latency_s)
 
@@ -126,12 +128,12 @@
         if now < self._next_period_at:
             return
         self._next_period_at = now + PERIOD_S
-        for control in self._controls.values():
+        for control in self._control_loops.values():
             self._adapt(control)
             control.latencies.clear()
             control.peak_in_flight = 0
 
-    def _adapt(self, control: _Control) -> None:
+    def _adapt(self, control: _ControlLoop) -> None:
         if not control.latencies:
             return
         median_s = statistics.median(control.latencies)
@@ -149,7 +151,7 @@
         elif control.periods_below >= CONSECUTIVE_PERIODS:
             _increase(control)
 
-    def _window_s(self, control: _Control, median_s: float) -> float:
+    def _window_s(self, control: _ControlLoop, median_s: float) -> float:
         if control.baseline_s == 0.0:
             control.baseline_s = median_s
         gain = (
@@ -162,25 +164,25 @@
             return WINDOW_SHARE * self._target_s
         return WINDOW_INFLATION * control.baseline_s
 
-    def _tail_exceeds_target(self, control: _Control) -> bool:
+    def _tail_exceeds_target(self, control: _ControlLoop) -> bool:
         count = len(control.latencies)
-        late_count = sum(
+        above_target_count = sum(
             seconds > self._target_s for seconds in control.latencies
         )
         standard_deviation = math.sqrt(TAIL_SHARE * (1 - TAIL_SHARE) / count)
         return (
-            late_count / count
+            above_target_count / count
             > TAIL_SHARE + TAIL_DEVIATIONS * standard_deviation
         )
 
 
-def _decrease(control: _Control) -> None:
+def _decrease(control: _ControlLoop) -> None:
     control.limit = max(MIN_LIMIT, control.limit * DECREASE_FACTOR)
     control.slow_start = False
     control.periods_above = 0
 
 
-def _increase(control: _Control) -> None:
+def _increase(control: _ControlLoop) -> None:
     """Increases the limit if at least half of it was used.
 
     The latency of a mostly idle server is no evidence for a higher limit.
--- a/laburnumsill/requests/admit.py
+++ b/laburnumsill/requests/admit.py
@@ -79,7 +79,7 @@
 
 
 class Admission:
-    """Admits requests up to this VM's concurrency limits; queues the others.
+    """Admits requests up to this VM's concurrency limits and queues the rest.
 
     Args:
         capacity: Returns the concurrency limits, see `Capacity`.
@@ -162,11 +162,11 @@
         ):
             raise errors.OverloadedError(
                 f"account {request.account!r} has {request.max_in_flight}"
-                " requests in flight here, its most"
+                " requests in flight on this VM, its limit"
             )
         if self._capacity(request.service, 1.0) <= 0:  # bypasses the cache
             raise errors.NoServerError(
-                f"no backend server of {request.service!r} can take requests"
+                f"no backend server of {request.service!r} accepts requests"
             )
 
     def _service_state(self, service: str) -> _ServiceState:
@@ -188,7 +188,7 @@
             return
         rejection = errors.OverloadedError(
             f"{len(queue) - 1} requests of class {request.class_name!r}"
-            " wait here"
+            " are queued on this VM"
         )
         victim = queue.shedding_victim(request.account)
         if victim is None:
@@ -237,8 +237,8 @@
         self, request: messages.RoutedRequest, waiter: _AdmissionWaiter
     ) -> None:
         max_wait_s = request.request_class.max_wait_ms / 1000
-        give_up_at = min(request.arrived + max_wait_s, request.deadline)
-        remaining_s = give_up_at - self._clock.monotonic()
+        wait_until = min(request.arrived + max_wait_s, request.deadline)
+        remaining_s = wait_until - self._clock.monotonic()
         with trio.move_on_after(max(0.0, remaining_s)):
             await waiter.decided.wait()
         if waiter.rejection is not None:
--- a/laburnumsill/requests/choose.py
+++ b/laburnumsill/requests/choose.py
@@ -32,7 +32,7 @@
         """Returns one of `candidates`."""
 
     def _sample_two(self, candidates: Candidates) -> Candidates:
-        """Returns two in random order, which breaks ties at random."""
+        """Returns two candidates in random order, so ties are random too."""
         return self._rng.sample(candidates, min(2, len(candidates)))
 
 
@@ -49,9 +49,9 @@
 
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
-        least = min(state.in_flight for state in candidates)
+        min_in_flight = min(state.in_flight for state in candidates)
         return self._rng.choice(
-            [state for state in candidates if state.in_flight == least]
+            [state for state in candidates if state.in_flight == min_in_flight]
         )
 
 
@@ -100,16 +100,18 @@
     observed latency instead of probes.
     """
 
-    SAMPLE = 6
+    SAMPLE_SIZE = 6
     HOT_QUANTILE = 0.75
 
     def choose(self, candidates: Candidates) -> servers.ServerState:
         """Returns one of `candidates`."""
-        count = min(self.SAMPLE, len(candidates))
+        count = min(self.SAMPLE_SIZE, len(candidates))
         sample = self._rng.sample(candidates, count)
         loads = sorted(_reported_load(state) for state in sample)
-        limit = loads[min(count - 1, int(count * self.HOT_QUANTILE))]
-        cold = [state for state in sample if _reported_load(state) < limit]
+        hot_threshold = loads[min(count - 1, int(count * self.HOT_QUANTILE))]
+        cold = [
+            state for state in sample if _reported_load(state) < hot_threshold
+        ]
         if not cold:
             return min(sample, key=_reported_load)
         return min(cold, key=lambda state: state.latency_s)
--- a/laburnumsill/requests/claim.py
+++ b/laburnumsill/requests/claim.py
@@ -106,7 +106,7 @@
         finally:
             if maybe_committed and not granted:
                 self._settler.record_later(
-                    group, settle.not_run(command, self._clock.wall())
+                    group, settle.not_run_command(command, self._clock.wall())
                 )
 
     async def refuse(
@@ -133,7 +133,9 @@
         except (errors.UnavailableError, errors.ProposalLostError) as error:
             raise _unreachable(error) from error
         if self._clock.monotonic() > propose_deadline:
-            raise messages.HomeUnreachableError("the home group was too slow")
+            raise messages.HomeUnreachableError(
+                "the home group did not answer in time"
+            )
         return status
 
     async def _propose(
--- a/laburnumsill/requests/dispatch.py
+++ b/laburnumsill/requests/dispatch.py
@@ -84,14 +84,14 @@
     """The attempts made for one request.
 
     Attributes:
-        servers: Ids of the servers that were attempted.
+        server_ids: Ids of the attempted servers.
         count: Number of attempts.
         sent: Whether a byte of any attempt may have reached a server.
     """
 
     def __init__(self, max_attempts: int) -> None:
         self._max_attempts = max_attempts
-        self.servers: set[str] = set()
+        self.server_ids: set[str] = set()
         self.count = 0
         self.sent = False
 
@@ -102,7 +102,7 @@
 
     def record(self, state: servers.ServerState) -> None:
         """Records an attempt at a server."""
-        self.servers.add(state.server.server_id)
+        self.server_ids.add(state.server.server_id)
         self.count += 1
 
     def overall_error(
@@ -123,7 +123,10 @@
 def _is_retryable(
     error: errors.LaburnumsillError, attempt_id: str | None
 ) -> bool:
-    """Returns whether a request may be retried after `error`."""
+    """Returns whether a request may be retried after `error`.
+
+    Claimed attempts are retried only if nothing was sent.
+    """
     if isinstance(error, backend.NotSentError):
         return True
     return attempt_id is None and isinstance(error, errors.OutcomeUnknownError)
@@ -329,10 +332,10 @@
     def _choose(
         self, request: messages.RoutedRequest, attempts: "_Attempts"
     ) -> servers.ServerState:
-        usable = self._usable_servers(request, attempts.servers)
+        usable = self._usable_servers(request, attempts.server_ids)
         if not usable:
             raise errors.NoServerError(
-                f"no backend server of {request.service!r} can take requests"
+                f"no backend server of {request.service!r} accepts requests"
             )
         candidates, reason = self._candidates(
             request, usable, attempts.count + 1
@@ -387,14 +390,14 @@
         return _least_over_limit(usable), "all-full"
 
     def _usable_servers(
-        self, request: messages.RoutedRequest, tried: abc.Set[str]
+        self, request: messages.RoutedRequest, attempted_ids: abc.Set[str]
     ) -> list[servers.ServerState]:
         usable = self._health.usable_servers(
             self._table.servers_of(request.service),
             self._clock.monotonic(),
             repeatable=request.request_class.repeatable,
         )
-        return [s for s in usable if s.server.server_id not in tried]
+        return [s for s in usable if s.server.server_id not in attempted_ids]
 
 
 def _least_over_limit(
--- a/laburnumsill/requests/durable.py
+++ b/laburnumsill/requests/durable.py
@@ -1,4 +1,4 @@
-"""Dispatches durable requests until their ends are recorded.
+"""Dispatches durable requests until their final states are recorded.
 
 The leader of a home group dispatches the group's pending requests. After a
 leader change the new leader dispatches all pending requests again, so a
@@ -28,7 +28,7 @@
 IDLE_SCAN_INTERVAL_S = 0.5
 """Interval of the scans while there are no pending requests."""
 
-MAX_CONCURRENT = 64
+MAX_CONCURRENT_DISPATCHES = 64
 """Limit of concurrent dispatches on one VM, for each home group."""
 
 INITIAL_BACKOFF_S = 0.2
@@ -40,7 +40,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _DispatchState:
-    """The dispatches of one request by this VM.
+    """This VM's dispatches of one request.
 
     Attributes:
         count: Number of dispatches.
@@ -92,9 +92,9 @@
                 if configuration is not None:
                     for domain in configuration.domains:
                         self._scan(ids.domain_group(domain), nursery)
-                busy = any(self._dispatches.values())
+                any_pending = any(self._dispatches.values())
                 await trio.sleep(
-                    SCAN_INTERVAL_S if busy else IDLE_SCAN_INTERVAL_S
+                    SCAN_INTERVAL_S if any_pending else IDLE_SCAN_INTERVAL_S
                 )
 
     def _scan(self, group: str, nursery: trio.Nursery) -> None:
@@ -112,7 +112,7 @@
         running = sum(entry.running for entry in dispatches.values())
         now = self._clock.monotonic()
         for key, record in durable_requests.pending.items():
-            if running >= MAX_CONCURRENT:
+            if running >= MAX_CONCURRENT_DISPATCHES:
                 return
             entry = dispatches.setdefault(key, _DispatchState())
             if entry.running or now < entry.next_at:
@@ -126,9 +126,9 @@
     ) -> None:
         entry.count += 1
         try:
-            end = await self._dispatch_once(record)
-            if end is not None:
-                await self._record_end(group, end)
+            end_command = await self._dispatch_once(record)
+            if end_command is not None:
+                await self._record_end(group, end_command)
         except errors.LaburnumsillError as error:
             logs.event(
                 "durable-dispatch-failed",
@@ -147,7 +147,11 @@
     async def _dispatch_once(
         self, record: durable.DurableRecord
     ) -> durable.EndDurable | None:
-        """Runs a request once; returns its end, or None to retry it."""
+        """Runs a request once.
+
+        Returns:
+            The command that records its final state, or None to retry it.
+        """
         work = record.work
         if work is None:
             return None
@@ -221,7 +225,7 @@
         )
 
     async def _record_end(self, group: str, end: durable.EndDurable) -> None:
-        """Records an end, with retries while this VM leads the group."""
+        """Records a final state, with retries while this VM leads the group."""
         self._metrics.count("durable_ended_total", state=str(end.state))
         while self._groups.leads(group):
             propose_deadline = self._clock.monotonic() + _RECORD_TIMEOUT_S
--- a/laburnumsill/requests/health.py
+++ b/laburnumsill/requests/health.py
@@ -1,4 +1,4 @@
-"""Outlier ejection of failing backend servers, with probes for their return.
+"""Outlier ejection of failing backend servers, ended by successful probes.
 
 A server that refuses connections is ejected at once: nothing was sent, so
 the request can go to another server. A server that fails fast is always
@@ -67,10 +67,10 @@
     def _may_probe(
         self, state: servers.ServerState, now: float, *, repeatable: bool
     ) -> bool:
-        due = state.ejected_until
+        probe_at = state.ejected_until
         if not (repeatable or state.failure is servers.Failure.REFUSED):
-            due += NON_REPEATABLE_PROBE_DELAY_S
-        return now >= due and not state.probing
+            probe_at += NON_REPEATABLE_PROBE_DELAY_S
+        return now >= probe_at and not state.probing
 
     def record_send(self, state: servers.ServerState) -> None:
         """Records a send, which is a probe if the server is ejected."""
@@ -109,8 +109,10 @@
         state.probing = False
 
     def _eject(self, state: servers.ServerState, now: float) -> None:
-        length_s = min(MAX_EJECTION_S, INITIAL_EJECTION_S * 2**state.ejections)
-        jittered_s = length_s * self._rng.uniform(0.8, 1.2)
+        ejection_s = min(
+            MAX_EJECTION_S, INITIAL_EJECTION_S * 2**state.ejections
+        )
+        jittered_s = ejection_s * self._rng.uniform(0.8, 1.2)
         state.ejected_until = now + jittered_s
         state.ejections = min(state.ejections + 1, 10)
         logs.event(
--- a/laburnumsill/requests/limit.py
+++ b/laburnumsill/requests/limit.py
@@ -80,12 +80,12 @@
     The limit is the VM's requests at the time of the report plus an equal
     share of the free slots.
 
-    If all VMs use their limits at once, the slots are just used up, so old
-    reports do no harm. A VM that alone has load reaches nearly all slots
-    within a few reports. If a report shows no free slot and other VMs use
-    some, a VM above its equal share limits itself to one request fewer than
-    it had: the other VMs may use their equal shares too, and the sum would
-    otherwise exceed the slots while the load lasts.
+    If all VMs use their limits at once, their requests exactly fill the
+    slots, so stale reports do not cause overcommit. A VM that alone has load
+    reaches nearly all slots within a few reports. If a report shows no free
+    slot and other VMs use some, a VM above its equal share limits itself to
+    one request fewer than it had: the other VMs may use their equal shares
+    too, and the sum would otherwise exceed the slots while the load lasts.
     """
 
     def limit(self, state: servers.ServerState, share: float = 1.0) -> float:
@@ -105,20 +105,20 @@
 
     def __init__(self, entry_vms: int, target_s: float) -> None:
         super().__init__(entry_vms, target_s)
-        self._controls = adaptive.Controls(self.anchor, target_s)
+        self._control_loops = adaptive.ControlLoops(self.anchor, target_s)
 
     def limit(self, state: servers.ServerState, share: float = 1.0) -> float:
         """Returns the limit, see the base class."""
         initial = max(1.0, self._equal_share(state, 1.0))
-        return share * self._controls.limit(state, initial)
+        return share * self._control_loops.limit(state, initial)
 
     def observe(self, state: servers.ServerState, latency_s: float) -> None:
         """Records a latency, see the base class."""
-        self._controls.observe(state, latency_s)
+        self._control_loops.observe(state, latency_s)
 
     def tick(self, now: float) -> None:
         """Adapts the limits, see the base class."""
-        self._controls.tick(now)
+        self._control_loops.tick(now)
 
 
 class BaselineLimiter(AdaptiveLimiter):
--- a/laburnumsill/requests/once.py
+++ b/laburnumsill/requests/once.py
@@ -75,7 +75,7 @@
 
     @property
     def running(self) -> int:
-        """Number of requests in progress, also of disconnected callers."""
+        """Requests in progress, including those of disconnected callers."""
         return self._running
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -112,7 +112,7 @@
         configuration: models.Configuration,
         error: errors.LaburnumsillError,
     ) -> messages.Answer:
-        """Returns the stored answer of a key whose request is not to be run.
+        """Fences off a rejected request's key, or returns its stored answer.
 
         `error` reports the outcome "not run". It is raised only after the
         home group has fenced off the key, so that no send of it that has
@@ -278,7 +278,7 @@
         outcome: claim_records.ClaimState,
         answer: stored_answers.StoredAnswer | None,
     ) -> claim_records.SettleRequest:
-        return settle.settlement(
+        return settle.settle_command(
             grant.request,
             grant.attempt,
             outcome,
--- a/laburnumsill/requests/policies.py
+++ b/laburnumsill/requests/policies.py
@@ -1,4 +1,4 @@
-"""The policies that the configuration in force names."""
+"""The request policies of the configuration in force."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class Policies:
-    """Holds the chooser and the limiter; replaces both on changed settings.
+    """The chooser and the limiter in force, replaced if their settings change.
 
     Args:
         current: The configuration in force.
--- a/laburnumsill/requests/queues.py
+++ b/laburnumsill/requests/queues.py
@@ -3,7 +3,7 @@
 Accounts are served by start-time fair queueing: each dequeued request gives
 its account a finish tag `start + 1 / weight`, and the account with the
 smallest start tag is next. A full queue sheds a request of the account with
-the most queued requests for its weight, so that a flood of one account
+the highest ratio of queued requests to weight, so that a flood of one account
 displaces only its own requests.
 
 References:
@@ -17,7 +17,7 @@
 
 import sortedcontainers
 
-_order = itertools.count()
+_arrival_numbers = itertools.count()
 
 
 @dataclasses.dataclass(eq=False, slots=True)
@@ -34,7 +34,7 @@
     account: str
     weight: float
     deadline: float
-    number: int = dataclasses.field(default_factory=_order.__next__)
+    number: int = dataclasses.field(default_factory=_arrival_numbers.__next__)
 
 
 def _deadline_order(waiter: Waiter) -> tuple[float, int]:
@@ -104,8 +104,9 @@
     def shedding_victim(self, account: str) -> Waiter | None:
         """Returns the waiter to shed in place of the newest of `account`.
 
-        It is the one with the latest deadline of the account with the most
-        waiters for its weight; None if no account exceeds `account` itself.
+        It is the waiter with the latest deadline in the account with the
+        highest ratio of waiters to weight; None if no account has a higher
+        ratio than `account`.
         """
         longest = max(self._accounts.values(), key=_weighted_length)
         if _weighted_length(longest) <= _weighted_length(
--- a/laburnumsill/requests/read.py
+++ b/laburnumsill/requests/read.py
@@ -1,4 +1,4 @@
-"""The read filter: reads request bodies within the limits of memory.
+"""The read filter: reads request bodies within memory limits.
 
 Bodies are buffered until their requests end, so the buffered bytes of a VM
 are limited, and those of one account to a share of that limit.
@@ -58,12 +58,12 @@
         return self._buffered_by_account.total()
 
     @contextlib.asynccontextmanager
-    async def reading(
+    async def read_request(
         self,
         classified: classify.Classified,
         chunks: abc.AsyncIterator[bytes],
     ) -> abc.AsyncIterator[messages.RoutedRequest]:
-        """Yields the complete request; its body counts as buffered inside.
+        """Yields the complete request, whose body stays buffered until exit.
 
         Args:
             classified: The classified head of the request.
@@ -76,7 +76,7 @@
             UnreadError: Instead of the last two, if there may have been an
                 earlier send of the request's key.
         """
-        # One buffer: a list of small chunks takes many times their size.
+        # A list of small chunks would use many times their size in memory.
         buffer = bytearray()
         try:
             try:
@@ -117,7 +117,7 @@
             or account_bytes > self._max_buffered_bytes * MAX_ACCOUNT_SHARE
         ):
             raise errors.OverloadedError(
-                f"{self.buffered_bytes} bytes of bodies are held,"
+                f"{self.buffered_bytes} bytes of bodies are buffered,"
                 f" {account_bytes - size} of them of account {account!r}"
             )
         self._buffered_by_account[account] = account_bytes
--- a/laburnumsill/requests/router.py
+++ b/laburnumsill/requests/router.py
@@ -191,7 +191,7 @@
         outcome = "error"
         try:
             classified = self._classify(head)
-            async with self._reader.reading(classified, body) as request:
+            async with self._reader.read_request(classified, body) as request:
                 result = await self._run(request)
             outcome = str(result.outcome)
             return result
--- a/laburnumsill/requests/servers.py
+++ b/laburnumsill/requests/servers.py
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(eq=False, slots=True, weakref_slot=True)
 class ServerState:
-    """One backend server as this VM sees it.
+    """This VM's state of one backend server.
 
     Attributes:
         server: The newest announcement.
@@ -71,12 +71,12 @@
         """Updates the state from an announcement."""
         if server is self.server:
             return
-        is_newer = (server.incarnation, server.sequence) != (
+        is_new = (server.incarnation, server.sequence) != (
             self.server.incarnation,
             self.server.sequence,
         )
         self.server = server
-        if is_newer:
+        if is_new:
             self.in_flight_at_report = self.in_flight
 
     def observe_latency(self, latency_s: float) -> None:
@@ -99,14 +99,14 @@
     def __init__(self, view: members.MemberView) -> None:
         self._view = view
         self._states: dict[str, dict[str, ServerState]] = {}
-        self._last_views: dict[str, tuple[members.BackendServer, ...]] = {}
+        self._last_announced: dict[str, tuple[members.BackendServer, ...]] = {}
 
     def servers_of(self, service: str) -> abc.Collection[ServerState]:
         """Returns the servers of a service, without those that are leaving."""
-        servers = self._view.servers(service)
-        if self._last_views.get(service) is not servers:
-            self._last_views[service] = servers
-            self._refresh(service, servers)
+        announced = self._view.servers(service)
+        if self._last_announced.get(service) is not announced:
+            self._last_announced[service] = announced
+            self._refresh(service, announced)
         return self._states[service].values()
 
     def addresses(self) -> frozenset[str]:
@@ -118,11 +118,11 @@
         )
 
     def _refresh(
-        self, service: str, servers: tuple[members.BackendServer, ...]
+        self, service: str, announced: tuple[members.BackendServer, ...]
     ) -> None:
         old = self._states.get(service, {})
         new: dict[str, ServerState] = {}
-        for server in servers:
+        for server in announced:
             if server.leaving:
                 continue
             state = old.get(server.server_id)
--- a/laburnumsill/requests/settle.py
+++ b/laburnumsill/requests/settle.py
@@ -30,7 +30,7 @@
 _MAX_BACKOFF_S = 5.0
 
 
-def not_run(
+def not_run_command(
     command: claim_records.ClaimRequest, now: float
 ) -> claim_records.SettleRequest:
     """Returns the command that records an attempt as not run."""
@@ -45,7 +45,7 @@
     )
 
 
-def settlement(
+def settle_command(
     request: messages.RoutedRequest,
     attempt: str,
     outcome: claim_records.ClaimState,
@@ -124,10 +124,10 @@
     async def _retry_propose(
         self, group: str, command: claim_records.SettleRequest
     ) -> None:
-        give_up_at = self._clock.monotonic() + RETRY_LIMIT_S
+        retry_until = self._clock.monotonic() + RETRY_LIMIT_S
         backoff_s = _INITIAL_BACKOFF_S
         try:
-            while self._clock.monotonic() < give_up_at:
+            while self._clock.monotonic() < retry_until:
                 propose_deadline = self._clock.monotonic() + OUTCOME_TIMEOUT_S
                 if await self._try_propose(group, command, propose_deadline):
                     return
