--- a/laburnumsill/requests/accept.py
+++ b/laburnumsill/requests/accept.py
@@ -8,7 +8,7 @@
 from laburnumsill.core import errors
 from laburnumsill.core import logs
 from laburnumsill.core import replication
-from laburnumsill.requests import home
+from laburnumsill.requests import home_groups
 from laburnumsill.requests import messages
 from laburnumsill.state import durable
 
@@ -54,7 +54,7 @@
             DurableExpiredError: The request was accepted before and ended
                 without success.
         """
-        group = home.home_group(request.claim_key, configuration)
+        group = home_groups.home_group(request.claim_key, configuration)
         command = self._command(request, configuration.requests)
         propose_deadline = min(
             request.deadline, self._clock.monotonic() + ACCEPT_TIMEOUT_S
--- a/laburnumsill/requests/once.py
+++ b/laburnumsill/requests/at_most_once.py
@@ -20,7 +20,7 @@
 from laburnumsill.requests import claim
 from laburnumsill.requests import dispatch
 from laburnumsill.requests import headers
-from laburnumsill.requests import home
+from laburnumsill.requests import home_groups
 from laburnumsill.requests import messages
 from laburnumsill.requests import settle
 from laburnumsill.state import answers as stored_answers
@@ -122,7 +122,7 @@
             errors.LaburnumsillError: `error`, or the status of an earlier
                 send that ran or may have run.
         """
-        group = home.home_group(request.claim_key, configuration)
+        group = home_groups.home_group(request.claim_key, configuration)
         status = await self._claim_filter.refuse(request, group)
         if status.state is claim_records.ClaimState.NOT_RUN:
             raise error
@@ -156,7 +156,7 @@
         configuration: models.Configuration,
     ) -> messages.Answer:
         policy = configuration.requests
-        group = home.home_group(request.claim_key, configuration)
+        group = home_groups.home_group(request.claim_key, configuration)
         try:
             permit = await self._admission.acquire(request)
         except errors.LaburnumsillError as error:
--- a/laburnumsill/requests/dispatch.py
+++ b/laburnumsill/requests/dispatch.py
@@ -14,10 +14,10 @@
 from laburnumsill.core import logs
 from laburnumsill.core import metrics as metrics_module
 from laburnumsill.core import topology
-from laburnumsill.requests import budget
-from laburnumsill.requests import health as health_module
 from laburnumsill.requests import messages
+from laburnumsill.requests import outlier_ejection
 from laburnumsill.requests import policies as policies_module
+from laburnumsill.requests import retry_budget
 from laburnumsill.requests import servers
 
 MIN_SERVER_ERROR_STATUS = 500
@@ -138,7 +138,7 @@
     Args:
         local_vm: This VM.
         table: The known servers.
-        health: Outlier ejection.
+        outlier_detector: Ejects failing servers.
         policies: The policies in force.
         client: HTTP client for backend servers.
         clock: The process's clock.
@@ -149,7 +149,7 @@
         self,
         local_vm: topology.Vm,
         table: servers.ServerTable,
-        health: health_module.OutlierDetector,
+        outlier_detector: outlier_ejection.OutlierDetector,
         policies: policies_module.Policies,
         client: backend.BackendClient,
         clock: clocks.Clock,
@@ -157,19 +157,21 @@
     ) -> None:
         self._local_vm = local_vm
         self._table = table
-        self._health = health
+        self._outlier_detector = outlier_detector
         self._policies = policies
         self._client = client
         self._clock = clock
         self._metrics = metrics
-        self._budget = budget.RetryBudget()
+        self._budget = retry_budget.RetryBudget()
 
     def capacity(self, service: str, share: float) -> float:
         """Returns this VM's concurrency limit, see `admit.Capacity`."""
         limiter = self._policies.limiter
         now = self._clock.monotonic()
         states = self._table.servers_of(service)
-        usable = self._health.usable_servers(states, now, repeatable=True)
+        usable = self._outlier_detector.usable_servers(
+            states, now, repeatable=True
+        )
         return sum(limiter.limit(state, share) for state in usable)
 
     async def run(
@@ -216,14 +218,16 @@
         """Records the result of an attempt; `failure` is None on success."""
         state.in_flight -= 1
         if failure is None:
-            self._health.record_success(state)
+            self._outlier_detector.record_success(state)
         else:
-            self._health.record_failure(state, self._clock.monotonic(), failure)
+            self._outlier_detector.record_failure(
+                state, self._clock.monotonic(), failure
+            )
 
     def abandon_attempt(self, state: servers.ServerState) -> None:
         """Records an attempt that is no evidence of the server's health."""
         state.in_flight -= 1
-        self._health.record_cancellation(state)
+        self._outlier_detector.record_cancellation(state)
 
     def _classify_failure(
         self,
@@ -293,7 +297,7 @@
         attempt_id: str | None,
     ) -> Exchange:
         state.in_flight += 1
-        self._health.record_send(state)
+        self._outlier_detector.record_send(state)
         started = self._clock.monotonic()
         outgoing = backend.BackendRequest(
             attempt_id or ids.fresh("att"),
@@ -392,7 +396,7 @@
     def _usable_servers(
         self, request: messages.RoutedRequest, attempted_ids: abc.Set[str]
     ) -> list[servers.ServerState]:
-        usable = self._health.usable_servers(
+        usable = self._outlier_detector.usable_servers(
             self._table.servers_of(request.service),
             self._clock.monotonic(),
             repeatable=request.request_class.repeatable,
--- a/laburnumsill/requests/lookup.py
+++ b/laburnumsill/requests/lookup.py
@@ -6,7 +6,7 @@
 from laburnumsill.core import clock as clocks
 from laburnumsill.core import errors
 from laburnumsill.core import replication
-from laburnumsill.requests import home
+from laburnumsill.requests import home_groups
 from laburnumsill.state import claim_records
 from laburnumsill.state import durable
 
@@ -47,7 +47,7 @@
         errors.NotFoundError: The home group has no record of the key.
         errors.UnavailableError: The home group cannot be reached.
     """
-    group = home.home_group(key, configuration)
+    group = home_groups.home_group(key, configuration)
     query_deadline = clock.monotonic() + QUERY_TIMEOUT_S
     durable_status: durable.DurableStatus = await groups.query(
         group, durable.GetDurable(key), query_deadline
--- a/laburnumsill/requests/router.py
+++ b/laburnumsill/requests/router.py
@@ -24,16 +24,16 @@
 from laburnumsill.requests import accept
 from laburnumsill.requests import admit
 from laburnumsill.requests import answer as answers
+from laburnumsill.requests import at_most_once
 from laburnumsill.requests import claim
 from laburnumsill.requests import classify
 from laburnumsill.requests import dispatch
 from laburnumsill.requests import headers
-from laburnumsill.requests import health
 from laburnumsill.requests import lookup
 from laburnumsill.requests import messages
-from laburnumsill.requests import once
+from laburnumsill.requests import outlier_ejection
 from laburnumsill.requests import policies
-from laburnumsill.requests import read
+from laburnumsill.requests import read_body
 from laburnumsill.requests import servers
 from laburnumsill.requests import settle
 
@@ -82,7 +82,7 @@
         self._dispatcher = dispatch.Dispatcher(
             local_vm,
             self._table,
-            health.OutlierDetector(rng),
+            outlier_ejection.OutlierDetector(rng),
             self._policies,
             client,
             clock,
@@ -93,15 +93,15 @@
         )
         self._settler = settle.Settler(groups, clock, metrics)
         claim_filter = claim.ClaimFilter(local_vm, groups, self._settler, clock)
-        self._once = once.AtMostOnceRunner(
+        self._at_most_once = at_most_once.AtMostOnceRunner(
             self._admission,
             claim_filter,
             self._dispatcher,
             self._settler,
             clock,
         )
-        self._accept = accept.AcceptFilter(groups, clock)
-        self._reader = read.BodyReader(clock)
+        self._accept_filter = accept.AcceptFilter(groups, clock)
+        self._body_reader = read_body.BodyReader(clock)
         self._draining = False
         self._in_flight = 0
 
@@ -118,7 +118,7 @@
         """Runs the background tasks until cancelled."""
         async with trio.open_nursery() as nursery:
             self._settler.start(nursery)
-            self._once.start(nursery)
+            self._at_most_once.start(nursery)
             nursery.start_soon(self._close_stale_connections)
             task_status.started()
             while True:
@@ -139,7 +139,11 @@
                 longer waited for.
         """
         self._draining = True
-        while self._in_flight or self._settler.pending or self._once.running:
+        while (
+            self._in_flight
+            or self._settler.pending
+            or self._at_most_once.running
+        ):
             if self._clock.monotonic() >= deadline:
                 logs.event("drain-timeout", in_flight=self._in_flight)
                 return
@@ -191,7 +195,9 @@
         outcome = "error"
         try:
             classified = self._classify(head)
-            async with self._reader.read_request(classified, body) as request:
+            async with self._body_reader.read_request(
+                classified, body
+            ) as request:
                 result = await self._run(request)
             outcome = str(result.outcome)
             return result
@@ -214,7 +220,9 @@
         if self._draining:
             return await self._refuse_draining(request)
         if request.request_class.durable:
-            return await self._accept.accept(request, self._configuration())
+            return await self._accept_filter.accept(
+                request, self._configuration()
+            )
         if request.request_class.repeatable:
             return await self._run_repeatable(request)
         return await self._run_at_most_once(request)
@@ -227,7 +235,9 @@
             raise messages.HomeUnreachableError(error.detail) from error
         if request.request_class.repeatable:
             raise error
-        return await self._once.refuse(request, self._configuration(), error)
+        return await self._at_most_once.refuse(
+            request, self._configuration(), error
+        )
 
     async def _run_repeatable(
         self, request: messages.RoutedRequest
@@ -245,7 +255,7 @@
     async def _run_at_most_once(
         self, request: messages.RoutedRequest
     ) -> messages.Answer:
-        return await self._once.run(request, self._configuration())
+        return await self._at_most_once.run(request, self._configuration())
 
     def _configuration(self) -> models.Configuration:
         configuration = self._current.get()
--- a/laburnumsill/requests/tests/test_once.py
+++ b/laburnumsill/requests/tests/test_at_most_once.py
@@ -12,7 +12,7 @@
 from laburnumsill.requests import answer
 from laburnumsill.requests import classify
 from laburnumsill.requests import messages
-from laburnumsill.requests import read
+from laburnumsill.requests import read_body
 from laburnumsill.requests.tests import support
 from laburnumsill.state import claim_records
 from laburnumsill.testing import local_groups
@@ -226,8 +226,8 @@
         server,
         router,
     ):
-        reader = read.BodyReader(bench.clock, 1_000)
-        router._reader = reader
+        reader = read_body.BodyReader(bench.clock, 1_000)
+        router._body_reader = reader
         async with trio.open_nursery() as nursery:
             check = support.head(bench.clock, "check", account="flood")
             nursery.start_soon(support.ask, router, check, b"x" * 400)
@@ -235,7 +235,7 @@
             with pytest.raises(errors.OverloadedError):
                 await support.ask(router, check, b"x" * 200)
             booking = support.head(bench.clock, "confirm", "k", "flood")
-            with pytest.raises(read.UnreadError):
+            with pytest.raises(read_body.UnreadError):
                 await support.ask(router, booking, b"x" * 200)
             await support.ask(router, support.head(bench.clock), b"x" * 200)
         assert reader.buffered_bytes == 0
