--- a/laburnumsill/requests/admit.py
+++ b/laburnumsill/requests/admit.py
@@ -237,7 +237,7 @@
         self, request: messages.RoutedRequest, waiter: _AdmissionWaiter
     ) -> None:
         max_wait_s = request.request_class.max_wait_ms / 1000
-        wait_until = min(request.arrived + max_wait_s, request.deadline)
+        wait_until = min(request.arrived_at + max_wait_s, request.deadline)
         remaining_s = wait_until - self._clock.monotonic()
         with trio.move_on_after(max(0.0, remaining_s)):
             await waiter.decided.wait()
@@ -249,7 +249,7 @@
             )
         self._metrics.observe(
             "request_wait_seconds",
-            self._clock.monotonic() - request.arrived,
+            self._clock.monotonic() - request.arrived_at,
             request_class=request.class_name,
         )
 
--- a/laburnumsill/requests/choose.py
+++ b/laburnumsill/requests/choose.py
@@ -131,7 +131,7 @@
 }
 
 
-def make(name: str, rng: random.Random) -> Chooser:
+def make_chooser(name: str, rng: random.Random) -> Chooser:
     """Returns a chooser of the policy `name`.
 
     Raises:
--- a/laburnumsill/requests/claim.py
+++ b/laburnumsill/requests/claim.py
@@ -73,7 +73,7 @@
             request.digest,
             attempt,
             self._local_vm.vm_id,
-            self._clock.wall_deadline(request.arrived),
+            self._clock.wall_deadline(request.arrived_at),
             self._clock.wall(),
             attempt_deadline,
             attempt_deadline + retention_s,
@@ -81,7 +81,7 @@
         propose_deadline = min(
             request.deadline,
             self._clock.monotonic() + CLAIM_TIMEOUT_S,
-            request.arrived + claim_records.CLAIM_WINDOW_S,
+            request.arrived_at + claim_records.CLAIM_WINDOW_S,
         )
         granted = False
         maybe_committed = False
--- a/laburnumsill/requests/classify.py
+++ b/laburnumsill/requests/classify.py
@@ -51,7 +51,7 @@
             self.head.target,
             header_names.end_to_end(self.head.headers),
             body,
-            self.head.arrived,
+            self.head.arrived_at,
             self.deadline,
         )
 
@@ -87,7 +87,7 @@
         weight,
         max_in_flight,
         key,
-        head.arrived + _timeout_ms(head, request_class) / 1000,
+        head.arrived_at + _timeout_ms(head, request_class) / 1000,
     )
 
 
--- a/laburnumsill/requests/limit.py
+++ b/laburnumsill/requests/limit.py
@@ -137,7 +137,7 @@
 }
 
 
-def make(name: str, entry_vms: int, target_s: float) -> Limiter:
+def make_limiter(name: str, entry_vms: int, target_s: float) -> Limiter:
     """Returns a limiter of the policy `name`.
 
     Raises:
--- a/laburnumsill/requests/messages.py
+++ b/laburnumsill/requests/messages.py
@@ -67,7 +67,7 @@
         method: The HTTP method.
         target: Path and query at the backend server.
         headers: All headers, names in lower case.
-        arrived: Monotonic time of arrival.
+        arrived_at: Monotonic time of arrival.
     """
 
     request_id: str
@@ -75,7 +75,7 @@
     method: str
     target: bytes
     headers: backend.Headers
-    arrived: float
+    arrived_at: float
 
 
 @dataclasses.dataclass(frozen=True)
@@ -95,7 +95,7 @@
         target: Path and query at the backend server.
         headers: End-to-end headers, names in lower case.
         body: The complete body.
-        arrived: Monotonic time of arrival.
+        arrived_at: Monotonic time of arrival.
         deadline: Deadline of the request, in monotonic time.
     """
 
@@ -111,7 +111,7 @@
     target: bytes
     headers: backend.Headers
     body: bytes
-    arrived: float
+    arrived_at: float
     deadline: float
 
     @property
--- a/laburnumsill/requests/policies.py
+++ b/laburnumsill/requests/policies.py
@@ -66,7 +66,7 @@
             self._make(models.RequestPolicy())
 
     def _make(self, policy: models.RequestPolicy) -> None:
-        self._chooser = choose.make(policy.chooser, self._rng)
-        self._limiter = limit.make(
+        self._chooser = choose.make_chooser(policy.chooser, self._rng)
+        self._limiter = limit.make_limiter(
             policy.limiter, self._entry_vms, policy.target_latency_ms / 1000
         )
--- a/laburnumsill/requests/router.py
+++ b/laburnumsill/requests/router.py
@@ -285,7 +285,7 @@
         )
         self._metrics.observe(
             "request_seconds",
-            self._clock.monotonic() - head.arrived,
+            self._clock.monotonic() - head.arrived_at,
             request_class=class_name,
             account=account,
         )
--- a/laburnumsill/requests/tests/support.py
+++ b/laburnumsill/requests/tests/support.py
@@ -140,7 +140,7 @@
         return server
 
 
-def machine() -> replication.StateMachine:
+def state_machine() -> replication.StateMachine:
     return replication.StateMachine(claims.Claims(), durable.DurableRequests())
 
 
@@ -162,7 +162,9 @@
 
     def __init__(self, entry_vms: int = 1, **requests: typing.Any) -> None:
         self.clock = clocks.SystemClock()
-        self.machines = {ids.domain_group(name): machine() for name in DOMAINS}
+        self.machines = {
+            ids.domain_group(name): state_machine() for name in DOMAINS
+        }
         self.groups = local_groups.LocalGroups(self.machines)
         self.view = FixedView()
         self.current = current_module.Current()
@@ -244,7 +246,7 @@
     body: bytes
 
 
-async def ask(
+async def send_request(
     router: routers.RequestRouter,
     request_head: messages.RequestHead,
     body: bytes = b"{}",
@@ -262,7 +264,7 @@
     return Result(str(answer.outcome), answer.status, whole)
 
 
-async def until(
+async def wait_until(
     condition: abc.Callable[[], bool], seconds: float = 20.0
 ) -> None:
     """Waits until `condition` holds."""
--- a/laburnumsill/requests/tests/test_at_most_once.py
+++ b/laburnumsill/requests/tests/test_at_most_once.py
@@ -70,10 +70,10 @@
 async def test_lost_claim_proposal_is_retried_and_request_runs_once(faults):
     async with site(support.respond(b"booked")) as (bench, server, router):
         bench.groups.faults[claim_records.ClaimRequest] = faults
-        result = await support.ask(router, confirm(bench))
+        result = await support.send_request(router, confirm(bench))
         await bench.groups.apply_late()
         assert (result.body, len(server.calls)) == (b"booked", 1)
-        again = await support.ask(router, confirm(bench))
+        again = await support.send_request(router, confirm(bench))
         assert (again.body, len(server.calls)) == (b"booked", 1)
 
 
@@ -81,24 +81,24 @@
     async with site(support.respond(b"booked")) as (bench, server, router):
         bench.groups.faults[claim_records.ClaimRequest] = ["lost"] * 1000
         with pytest.raises(messages.HomeUnreachableError) as caught:
-            await support.ask(router, confirm(bench))
+            await support.send_request(router, confirm(bench))
         await bench.groups.apply_late()
         assert not server.calls
         bench.groups.faults.clear()
         await trio.sleep(caught.value.retry_after_s)
-        result = await support.ask(router, confirm(bench))
+        result = await support.send_request(router, confirm(bench))
         assert (result.body, len(server.calls)) == (b"booked", 1)
 
 
 async def test_lost_settle_proposal_is_retried_in_the_background():
     async with site(support.respond(b"booked")) as (bench, server, router):
         bench.groups.faults[claim_records.SettleRequest] = ["lost"] * 3
-        result = await support.ask(router, confirm(bench))
+        result = await support.send_request(router, confirm(bench))
         assert result.body == b"booked"
         with trio.fail_after(30):
             while True:
                 try:
-                    again = await support.ask(router, confirm(bench))
+                    again = await support.send_request(router, confirm(bench))
                     break
                 except errors.InProgressError:
                     await trio.sleep(0.1)
@@ -114,18 +114,18 @@
         results = []
 
         async def send():
-            results.append(await support.ask(router, confirm(bench)))
+            results.append(await support.send_request(router, confirm(bench)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send)
-            await support.until(lambda: len(server.calls) == 1)
+            await support.wait_until(lambda: len(server.calls) == 1)
             bench.groups.unavailable.update(bench.machines)
         assert results[0].body == b"booked"
         with pytest.raises(messages.HomeUnreachableError):
-            await support.ask(router, confirm(bench))
+            await support.send_request(router, confirm(bench))
         bench.groups.unavailable.clear()
         await trio.sleep(1.0)
-        again = await support.ask(router, confirm(bench))
+        again = await support.send_request(router, confirm(bench))
         assert (again.body, len(server.calls)) == (b"booked", 1)
 
 
@@ -142,10 +142,10 @@
         for group in bench.machines:
             await bench.groups.propose(group, abandoned_claim, 0.0)
         with pytest.raises(errors.InProgressError):
-            await support.ask(router, confirm(bench))
+            await support.send_request(router, confirm(bench))
         await trio.sleep(0.4)
         with pytest.raises(errors.OutcomeUnknownError):
-            await support.ask(router, confirm(bench))
+            await support.send_request(router, confirm(bench))
         assert not server.calls
 
 
@@ -166,31 +166,33 @@
             )
         )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(support.ask, router, confirm(bench, "k1"))
-            await support.until(lambda: len(server.calls) == 1)
+            nursery.start_soon(
+                support.send_request, router, confirm(bench, "k1")
+            )
+            await support.wait_until(lambda: len(server.calls) == 1)
             earlier_send = confirm(bench, "k2")
             with pytest.raises(errors.OverloadedError) as caught:
-                await support.ask(router, confirm(bench, "k2"))
+                await support.send_request(router, confirm(bench, "k2"))
             with pytest.raises(errors.InProgressError):
-                await support.ask(router, confirm(bench, "k1"))
+                await support.send_request(router, confirm(bench, "k1"))
         # A send that arrived before the rejection is fenced off.
         other_router = bench.router("vm1")
         async with bench.running(other_router):
             with pytest.raises(errors.UnavailableError):
-                await support.ask(other_router, earlier_send)
+                await support.send_request(other_router, earlier_send)
         await trio.sleep(caught.value.retry_after_s)
-        result = await support.ask(router, confirm(bench, "k2"))
+        result = await support.send_request(router, confirm(bench, "k2"))
         assert (result.body, len(server.calls)) == (b"booked", 2)
 
 
 async def test_draining_vm_returns_stored_answers_and_rejects_new_keys():
     async with site(support.respond(b"booked")) as (bench, server, router):
-        await support.ask(router, confirm(bench, "k1"))
+        await support.send_request(router, confirm(bench, "k1"))
         await router.drain(bench.clock.monotonic())
-        again = await support.ask(router, confirm(bench, "k1"))
+        again = await support.send_request(router, confirm(bench, "k1"))
         assert again.body == b"booked"
         with pytest.raises(messages.DrainingError):
-            await support.ask(router, confirm(bench, "k2"))
+            await support.send_request(router, confirm(bench, "k2"))
         assert len(server.calls) == 1
 
 
@@ -203,10 +205,10 @@
 
         bench.groups.propose = broken
         with pytest.raises(errors.LaburnumsillError) as caught:
-            await support.ask(router, confirm(bench))
+            await support.send_request(router, confirm(bench))
         assert answer.outcome_of(caught.value) == "unknown"
         bench.groups.propose = propose
-        result = await support.ask(router, confirm(bench))
+        result = await support.send_request(router, confirm(bench))
         assert (result.body, len(server.calls)) == (b"booked", 1)
 
 
@@ -215,9 +217,9 @@
         bench.current = current_module.Current()
         router = bench.router("vm1")
         with pytest.raises(messages.HomeUnreachableError):
-            await support.ask(router, confirm(bench))
+            await support.send_request(router, confirm(bench))
         with pytest.raises(errors.UnavailableError):
-            await support.ask(router, support.head(bench.clock))
+            await support.send_request(router, support.head(bench.clock))
 
 
 async def test_buffered_bodies_are_limited_per_account():
@@ -230,14 +232,16 @@
         router._body_reader = reader
         async with trio.open_nursery() as nursery:
             check = support.head(bench.clock, "check", account="flood")
-            nursery.start_soon(support.ask, router, check, b"x" * 400)
-            await support.until(lambda: len(server.calls) == 1)
+            nursery.start_soon(support.send_request, router, check, b"x" * 400)
+            await support.wait_until(lambda: len(server.calls) == 1)
             with pytest.raises(errors.OverloadedError):
-                await support.ask(router, check, b"x" * 200)
+                await support.send_request(router, check, b"x" * 200)
             booking = support.head(bench.clock, "confirm", "k", "flood")
             with pytest.raises(read_body.UnreadError):
-                await support.ask(router, booking, b"x" * 200)
-            await support.ask(router, support.head(bench.clock), b"x" * 200)
+                await support.send_request(router, booking, b"x" * 200)
+            await support.send_request(
+                router, support.head(bench.clock), b"x" * 200
+            )
         assert reader.buffered_bytes == 0
 
 
@@ -251,7 +255,7 @@
     timeout=st.one_of(st.integers().map(lambda n: str(n).encode()), printable),
     service=st.one_of(st.just("huts"), st.text(max_size=100)),
 )
-def test_any_head_is_classified_or_refused_with_a_type(
+def test_any_head_is_classified_or_rejected_as_invalid_input(
     name, account, key, timeout, service
 ):
     head = messages.RequestHead(
--- a/laburnumsill/requests/tests/test_durable.py
+++ b/laburnumsill/requests/tests/test_durable.py
@@ -57,18 +57,20 @@
 
 
 async def send(bench, router, key="k1"):
-    return await support.ask(router, support.head(bench.clock, "tag", key))
+    return await support.send_request(
+        router, support.head(bench.clock, "tag", key)
+    )
 
 
 async def test_request_is_dispatched_until_it_succeeds():
     async with site(support.raw(b"")) as (bench, server, routers, _):
         result = await send(bench, routers[0])
         assert (result.outcome, result.status) == ("accepted", 202)
-        await support.until(lambda: len(server.calls) >= 2)
+        await support.wait_until(lambda: len(server.calls) >= 2)
         server.reply = support.respond(status=503)
-        await support.until(lambda: len(server.calls) >= 3)
+        await support.wait_until(lambda: len(server.calls) >= 3)
         server.reply = support.respond()
-        await support.until(lambda: not pending(bench))
+        await support.wait_until(lambda: not pending(bench))
         again = await send(bench, routers[0])
         assert (again.outcome, again.status) == ("answered", 200)
     keys = {call.headers["idempotency-key"] for call in server.calls}
@@ -89,7 +91,7 @@
         await trio.sleep(0.5)
         assert pending(bench)
         groups[1].leading = True
-        await support.until(lambda: not pending(bench))
+        await support.wait_until(lambda: not pending(bench))
 
 
 async def test_request_that_is_not_repeatable_runs_once_and_ends_unknown():
@@ -101,7 +103,7 @@
         classes = {**configured.classes, "tag": at_most_once}
         bench.put(configured.model_copy(update={"classes": classes}))
         await send(bench, routers[0])
-        await support.until(lambda: not pending(bench))
+        await support.wait_until(lambda: not pending(bench))
         with pytest.raises(accept.DurableExpiredError) as caught:
             await send(bench, routers[0])
         assert caught.value.context["state"] == "unknown"
@@ -116,6 +118,6 @@
         _,
     ):
         await send(bench, routers[0])
-        await support.until(lambda: not pending(bench))
+        await support.wait_until(lambda: not pending(bench))
         with pytest.raises(accept.DurableExpiredError):
             await send(bench, routers[0])
--- a/laburnumsill/requests/tests/test_isolation.py
+++ b/laburnumsill/requests/tests/test_isolation.py
@@ -57,13 +57,13 @@
         self.refused = {}
         self.failed = 0
 
-    async def ask(self, name, account, seconds, key=None, timeout_ms=None):
+    async def send(self, name, account, seconds, key=None, timeout_ms=None):
         started = trio.current_time()
         target = model_servers.TARGET + str(seconds).encode()
         head = support.head(self.clock, name, key, account, timeout_ms, target)
         class_and_account = (name, account)
         try:
-            result = await support.ask(self.router, head)
+            result = await support.send_request(self.router, head)
         except errors.LaburnumsillError as error:
             self.refused.setdefault(class_and_account, []).append(error)
             return
@@ -81,7 +81,7 @@
             for n in range(count):
                 key = f"{account}-{n}" if name == "confirm" else None
                 nursery.start_soon(
-                    self.ask, name, account, seconds, key, timeout_ms
+                    self.send, name, account, seconds, key, timeout_ms
                 )
                 await trio.sleep(1 / rate)
 
@@ -104,7 +104,7 @@
     return trio.run(main, clock=testing.MockClock(autojump_threshold=0))
 
 
-async def urgent(sim, *, pricing):
+async def send_urgent_requests(sim, *, pricing):
     """Sends urgent requests; with `pricing`, also 5 times the capacity."""
     capacity = SERVERS * SLOTS / 0.2
     async with trio.open_nursery() as nursery:
@@ -117,8 +117,8 @@
 
 
 def test_pricing_at_five_times_capacity_does_not_block_urgent_classes():
-    alone = run(functools.partial(urgent, pricing=False))
-    under = run(functools.partial(urgent, pricing=True))
+    alone = run(functools.partial(send_urgent_requests, pricing=False))
+    under = run(functools.partial(send_urgent_requests, pricing=True))
     for name in ("confirm", "check"):
         assert (name, "lakes") not in under.refused
         assert under.p99(name, "lakes") <= 1.5 * alone.p99(name, "lakes")
@@ -151,10 +151,10 @@
     async def scenario(sim):
         async with trio.open_nursery() as nursery:
             for _ in range(SERVERS * SLOTS):
-                nursery.start_soon(sim.ask, "check", "lakes", 5.0)
+                nursery.start_soon(sim.send, "check", "lakes", 5.0)
             await trio.sleep(0.1)
             started = trio.current_time()
-            await sim.ask("check", "flood", 5.0)
+            await sim.send("check", "flood", 5.0)
             sim.waited = trio.current_time() - started
             nursery.cancel_scope.cancel()
 
@@ -163,7 +163,7 @@
     assert isinstance(sim.refused["check", "flood"][0], errors.OverloadedError)
 
 
-def test_fast_failing_server_is_ejected_and_returns():
+def test_fast_failing_server_is_ejected_until_it_recovers():
     async def scenario(sim):
         failing = sim.models[0]
         failing.mode = "fail-fast"
@@ -209,16 +209,15 @@
 def test_full_queue_sheds_requests_of_the_flooding_account():
     async def scenario(sim):
         async with trio.open_nursery() as nursery:
-            start = functools.partial(nursery.start_soon, sim.ask, "check")
-            running = (
-                SERVERS * SLOTS * 3 // 4
-            )  # the rest is reserved for "confirm"
+            start = functools.partial(nursery.start_soon, sim.send, "check")
+            # The other quarter of the slots is reserved for "confirm".
+            running = SERVERS * SLOTS * 3 // 4
             for _ in range(running + 600):
                 start("flood", 0.5)
             await trio.sleep(0.1)
             assert not sim.refused
             started = trio.current_time()
-            await sim.ask("check", "flood", 0.5)
+            await sim.send("check", "flood", 0.5)
             assert trio.current_time() - started < 0.01
             assert len(sim.refused["check", "flood"]) == 1
             for _ in range(20):
--- a/laburnumsill/requests/tests/test_policies.py
+++ b/laburnumsill/requests/tests/test_policies.py
@@ -33,23 +33,26 @@
 )
 def test_a_chooser_returns_a_candidate(name, loads):
     candidates = [state(str(n), in_flight=n) for n in loads]
-    chooser = choose.make(name, random.Random(1))
+    chooser = choose.make_chooser(name, random.Random(1))
     assert chooser.choose(candidates) in candidates
 
 
 def test_choosers_prefer_the_less_loaded_server():
     busy, idle = state("b", in_flight=5), state("i")
     for name in ("two-choices", "two-choices-reported", "least-in-flight"):
-        assert choose.make(name, random.Random(1)).choose([busy, idle]) is idle
+        assert (
+            choose.make_chooser(name, random.Random(1)).choose([busy, idle])
+            is idle
+        )
     slow, quick = state("s", latency_s=0.5), state("q", latency_s=0.1)
-    delay = choose.make("two-choices-delay", random.Random(1))
+    delay = choose.make_chooser("two-choices-delay", random.Random(1))
     assert delay.choose([slow, quick]) is quick
 
 
 def test_hot_cold_prefers_the_fastest_cold_server():
     hot = state("h", in_flight=8, latency_s=0.01)
     slow, quick = state("s", latency_s=0.5), state("q", latency_s=0.1)
-    chooser = choose.make("hot-cold", random.Random(1))
+    chooser = choose.make_chooser("hot-cold", random.Random(1))
     assert chooser.choose([hot, slow, quick]) is quick
 
 
@@ -63,7 +66,7 @@
     VMs below an equal share may be raised to it beyond the free slots.
     """
     busy = sum(own)
-    limiter = limit.make("borrowing", 8, 0.5)
+    limiter = limit.make_limiter("borrowing", 8, 0.5)
     limits = []
     for own_in_flight in own:
         server_state = state(busy=busy, slots=slots)
@@ -75,12 +78,12 @@
 
 
 def test_fixed_limits_add_up_to_the_slots():
-    limiter = limit.make("fixed", 8, 0.5)
+    limiter = limit.make_limiter("fixed", 8, 0.5)
     assert sum(limiter.limit(state(busy=3)) for _ in range(8)) == 8
 
 
-def test_adaptive_limit_decreases_when_late_and_increases_when_used():
-    limiter = limit.make("adaptive", 8, 0.1)
+def test_adaptive_limit_decreases_with_latency_and_increases_with_use():
+    limiter = limit.make_limiter("adaptive", 8, 0.1)
     server_state = state()
     assert limiter.limit(server_state) == 1.0
     now = 0.0
@@ -119,6 +122,6 @@
         site="tana", domains=["north"], requests=policy
     )
     current.put(current_module.Versioned(1, "1", configured))
-    made = policies.Policies(current, 8, random.Random(1))
-    assert isinstance(made.chooser, choose.Chooser)
-    assert isinstance(made.limiter, limit.Limiter)
+    request_policies = policies.Policies(current, 8, random.Random(1))
+    assert isinstance(request_policies.chooser, choose.Chooser)
+    assert isinstance(request_policies.limiter, limit.Limiter)
--- a/laburnumsill/requests/tests/test_router.py
+++ b/laburnumsill/requests/tests/test_router.py
@@ -22,7 +22,7 @@
 
 async def test_repeatable_request_is_forwarded():
     async with one_server(support.respond(b"free")) as (bench, server, router):
-        result = await support.ask(router, support.head(bench.clock))
+        result = await support.send_request(router, support.head(bench.clock))
         assert (result.outcome, result.status) == ("answered", 200)
         assert result.body == b"free"
         call = server.calls[0]
@@ -41,10 +41,10 @@
     ):
         second_router = bench.router("vm1")
         async with bench.running(second_router):
-            ask = support.head(bench.clock, "confirm", "k1")
-            first = await support.ask(first_router, ask)
-            again = support.head(bench.clock, "confirm", "k1")
-            second = await support.ask(second_router, again)
+            request_head = support.head(bench.clock, "confirm", "k1")
+            first = await support.send_request(first_router, request_head)
+            resend = support.head(bench.clock, "confirm", "k1")
+            second = await support.send_request(second_router, resend)
         assert first == second
         assert len(server.calls) == 1
         assert server.calls[0].headers["idempotency-key"] == "k1"
@@ -59,7 +59,9 @@
         async def send(router):
             try:
                 head = support.head(bench.clock, "confirm", "k1")
-                outcomes.append((await support.ask(router, head)).outcome)
+                outcomes.append(
+                    (await support.send_request(router, head)).outcome
+                )
             except errors.InProgressError as error:
                 assert error.retry_after_s
                 outcomes.append("in-progress")
@@ -74,9 +76,9 @@
 async def test_key_reused_with_another_body_is_refused():
     async with one_server(support.respond()) as (bench, server, router):
         head = support.head(bench.clock, "confirm", "k1")
-        await support.ask(router, head, b"a")
+        await support.send_request(router, head, b"a")
         with pytest.raises(errors.KeyReusedError):
-            await support.ask(router, head, b"b")
+            await support.send_request(router, head, b"b")
         assert len(server.calls) == 1
 
 
@@ -98,11 +100,11 @@
         head = support.head(bench.clock, "confirm", "k1")
         for _ in range(2):
             with pytest.raises(errors.OutcomeUnknownError):
-                await support.ask(router, head)
+                await support.send_request(router, head)
         assert len(server.calls) == 1
 
 
-async def test_refused_connection_is_not_run_and_may_be_sent_again():
+async def test_request_with_a_refused_connection_is_not_run_and_may_be_resent():
     async with one_server(support.respond(b"booked")) as (
         bench,
         server,
@@ -114,13 +116,15 @@
         await listener[0].aclose()
         bench.view.add(f"127.0.0.1:{port}")
         with pytest.raises(errors.NoServerError) as caught:
-            await support.ask(router, support.head(bench.clock, "confirm", "k"))
+            await support.send_request(
+                router, support.head(bench.clock, "confirm", "k")
+            )
         assert caught.value.retry_after_s
         bench.view.all = ()
         bench.view.add(server.address)
         await trio.sleep(caught.value.retry_after_s)
         head = support.head(bench.clock, "confirm", "k")
-        assert (await support.ask(router, head)).body == b"booked"
+        assert (await support.send_request(router, head)).body == b"booked"
         assert len(server.calls) == 1
 
 
@@ -128,10 +132,10 @@
     big = b"x" * 300_000
     async with one_server(support.respond(big)) as (bench, server, router):
         head = support.head(bench.clock, "confirm", "k1")
-        assert (await support.ask(router, head)).body == big
+        assert (await support.send_request(router, head)).body == big
         await trio.sleep(0.05)
         with pytest.raises(messages.AnswerNotKeptError):
-            await support.ask(router, head)
+            await support.send_request(router, head)
         assert len(server.calls) == 1
 
 
@@ -139,7 +143,9 @@
     async with one_server(support.respond()) as (bench, server, router):
         bench.groups.unavailable.update(bench.machines)
         with pytest.raises(messages.HomeUnreachableError):
-            await support.ask(router, support.head(bench.clock, "confirm", "k"))
+            await support.send_request(
+                router, support.head(bench.clock, "confirm", "k")
+            )
         assert not server.calls
 
 
@@ -147,21 +153,23 @@
     slow = support.respond(b"booked", wait_s=0.2)
     async with one_server(slow) as (bench, server, router):
         with trio.move_on_after(0.05):
-            await support.ask(router, support.head(bench.clock, "confirm", "k"))
+            await support.send_request(
+                router, support.head(bench.clock, "confirm", "k")
+            )
         await trio.sleep(0.4)
         head = support.head(bench.clock, "confirm", "k")
-        assert (await support.ask(router, head)).body == b"booked"
+        assert (await support.send_request(router, head)).body == b"booked"
         assert len(server.calls) == 1
 
 
-async def test_drain_waits_for_what_is_in_flight_and_refuses_new():
+async def test_drain_waits_for_requests_in_flight_and_rejects_new_ones():
     slow = support.respond(b"late", wait_s=0.3)
     async with one_server(slow) as (bench, server, router):
         bodies = []
 
         async def send():
             head = support.head(bench.clock, "check")
-            bodies.append((await support.ask(router, head)).body)
+            bodies.append((await support.send_request(router, head)).body)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send)
@@ -169,5 +177,5 @@
             nursery.start_soon(router.drain, bench.clock.monotonic() + 5)
             await trio.sleep(0.05)
             with pytest.raises(messages.DrainingError):
-                await support.ask(router, support.head(bench.clock))
+                await support.send_request(router, support.head(bench.clock))
         assert bodies == [b"late"]
