--- a/laburnumsill/requests/answer.py
+++ b/laburnumsill/requests/answer.py
@@ -10,7 +10,7 @@
 from laburnumsill.state import claim_records
 
 
-def streamed(
+def from_exchange(
     exchange: dispatch.Exchange,
     on_close: typing.Callable[[], typing.Awaitable[None]],
 ) -> messages.Answer:
@@ -24,8 +24,8 @@
     )
 
 
-def stored(answer: answers.StoredAnswer) -> messages.Answer:
-    """Returns an answer with a complete, stored body."""
+def from_stored_answer(answer: answers.StoredAnswer) -> messages.Answer:
+    """Returns the answer that was stored with a claim."""
     return messages.Answer(
         messages.Outcome.ANSWERED, answer.status, answer.headers, answer.body
     )
@@ -43,7 +43,7 @@
         errors.UnavailableError: The request was not run; a resend may run.
     """
     if status.answer is not None:
-        return stored(status.answer)
+        return from_stored_answer(status.answer)
     if status.state is claim_records.ClaimState.ANSWERED:
         raise messages.AnswerNotKeptError("the request was answered before")
     if status.state is claim_records.ClaimState.IN_PROGRESS:
--- a/laburnumsill/requests/at_most_once.py
+++ b/laburnumsill/requests/at_most_once.py
@@ -221,7 +221,7 @@
             b"".join(parts),
         )
         await self._settle(grant, claim_records.ClaimState.ANSWERED, answer)
-        return answers.stored(answer)
+        return answers.from_stored_answer(answer)
 
     def _stream(
         self,
--- a/laburnumsill/requests/classify.py
+++ b/laburnumsill/requests/classify.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Classified:
+class ClassifiedHead:
     """A request's head, validated against the configuration.
 
     See `messages.RoutedRequest` for the attributes.
@@ -58,7 +58,7 @@
 
 def classify(
     head: messages.RequestHead, configuration: models.Configuration
-) -> Classified:
+) -> ClassifiedHead:
     """Validates the head of a request against the configuration.
 
     Raises:
@@ -78,7 +78,7 @@
         raise errors.MissingKeyError(
             f"class {class_name!r} needs an Idempotency-Key"
         )
-    return Classified(
+    return ClassifiedHead(
         head,
         service,
         class_name,
--- a/laburnumsill/requests/outlier_ejection.py
+++ b/laburnumsill/requests/outlier_ejection.py
@@ -68,7 +68,7 @@
         self, state: servers.ServerState, now: float, *, repeatable: bool
     ) -> bool:
         probe_at = state.ejected_until
-        if not (repeatable or state.failure is servers.Failure.REFUSED):
+        if not (repeatable or state.last_failure is servers.Failure.REFUSED):
             probe_at += NON_REPEATABLE_PROBE_DELAY_S
         return now >= probe_at and not state.probing
 
@@ -97,7 +97,7 @@
     ) -> None:
         """Records a failure and ejects the server at the limit."""
         refused = failure is servers.Failure.REFUSED
-        state.failure = failure
+        state.last_failure = failure
         state.failures += FAILURES_TO_EJECT if refused else 1
         state.successes = 0
         state.probing = False
@@ -118,11 +118,11 @@
         logs.event(
             "server-ejected",
             server=state.server.server_id,
-            failure=state.failure.value if state.failure else "",
+            failure=state.last_failure.value if state.last_failure else "",
             failures=state.failures,
             ejections=state.ejections,
         )
 
 
 def _is_answering(state: servers.ServerState) -> bool:
-    return not state.ejected or state.failure is servers.Failure.ERROR
+    return not state.ejected or state.last_failure is servers.Failure.ERROR
--- a/laburnumsill/requests/queues.py
+++ b/laburnumsill/requests/queues.py
@@ -28,17 +28,19 @@
         account: The client account.
         weight: The account's weight.
         deadline: The request's deadline, in monotonic time.
-        number: Arrival number, which orders equal deadlines.
+        arrival_number: Orders waiters with equal deadlines.
     """
 
     account: str
     weight: float
     deadline: float
-    number: int = dataclasses.field(default_factory=_arrival_numbers.__next__)
+    arrival_number: int = dataclasses.field(
+        default_factory=_arrival_numbers.__next__
+    )
 
 
 def _deadline_order(waiter: Waiter) -> tuple[float, int]:
-    return waiter.deadline, waiter.number
+    return waiter.deadline, waiter.arrival_number
 
 
 class _AccountQueue:
--- a/laburnumsill/requests/read_body.py
+++ b/laburnumsill/requests/read_body.py
@@ -60,7 +60,7 @@
     @contextlib.asynccontextmanager
     async def read_request(
         self,
-        classified: classify.Classified,
+        classified: classify.ClassifiedHead,
         chunks: abc.AsyncIterator[bytes],
     ) -> abc.AsyncIterator[messages.RoutedRequest]:
         """Yields the complete request, whose body stays buffered until exit.
@@ -91,7 +91,7 @@
 
     async def _read(
         self,
-        classified: classify.Classified,
+        classified: classify.ClassifiedHead,
         chunks: abc.AsyncIterator[bytes],
         buffer: bytearray,
     ) -> None:
--- a/laburnumsill/requests/router.py
+++ b/laburnumsill/requests/router.py
@@ -207,7 +207,7 @@
         finally:
             self._record_metrics(head, request, outcome)
 
-    def _classify(self, head: messages.RequestHead) -> classify.Classified:
+    def _classify(self, head: messages.RequestHead) -> classify.ClassifiedHead:
         configuration = self._current.get()
         if configuration is not None:
             return classify.classify(head, configuration)
@@ -248,7 +248,7 @@
         except BaseException:
             permit.release()
             raise
-        return answers.streamed(
+        return answers.from_exchange(
             exchange, functools.partial(_close_and_release, exchange, permit)
         )
 
--- a/laburnumsill/requests/servers.py
+++ b/laburnumsill/requests/servers.py
@@ -33,7 +33,7 @@
         limit: Concurrency limit for this VM's requests, as last computed.
         latency_s: Moving mean of the latency, measured from the send.
         failures: Consecutive failures.
-        failure: The last failure, or None.
+        last_failure: The last failure, or None.
         successes: Consecutive successes since the server was ejected.
         ejected_until: Monotonic time from which a probe may be sent.
         ejections: Consecutive ejections, for the exponential backoff.
@@ -46,7 +46,7 @@
     limit: float = 1.0
     latency_s: float = 0.0
     failures: int = 0
-    failure: Failure | None = None
+    last_failure: Failure | None = None
     successes: int = 0
     ejected_until: float = 0.0
     ejections: int = 0
