--- a/bench/routing.py
+++ b/bench/routing.py
@@ -39,8 +39,8 @@
 from laburnumsill.core import replication
 from laburnumsill.core import topology
 from laburnumsill.requests import answer as answers
-from laburnumsill.requests import choose
-from laburnumsill.requests import limit
+from laburnumsill.requests import concurrency_limits
+from laburnumsill.requests import load_balancing
 from laburnumsill.requests import messages
 from laburnumsill.requests import router as routers
 from laburnumsill.state import claims
@@ -562,8 +562,12 @@
     parser.add_argument("--seconds", type=float, default=30.0)
     parser.add_argument("--load", type=float, default=0.7)
     parser.add_argument("--out", type=pathlib.Path, default=None)
-    parser.add_argument("--choosers", nargs="*", default=list(choose.CHOOSERS))
-    parser.add_argument("--limiters", nargs="*", default=list(limit.LIMITERS))
+    parser.add_argument(
+        "--choosers", nargs="*", default=list(load_balancing.CHOOSERS)
+    )
+    parser.add_argument(
+        "--limiters", nargs="*", default=list(concurrency_limits.LIMITERS)
+    )
     options = parser.parse_args()
     logs.set_up("ERROR", "bench")
     columns = COLUMNS
--- a/laburnumsill/api/policy_names.py
+++ b/laburnumsill/api/policy_names.py
@@ -9,8 +9,8 @@
 
 from laburnumsill.config import models
 from laburnumsill.core import errors
-from laburnumsill.requests import choose
-from laburnumsill.requests import limit
+from laburnumsill.requests import concurrency_limits
+from laburnumsill.requests import load_balancing
 
 
 class UnknownPolicyError(errors.InvalidConfigurationError):
@@ -28,8 +28,10 @@
             and what was expected.
     """
     requests = configuration.requests
-    _check_name("requests.chooser", requests.chooser, choose.CHOOSERS)
-    _check_name("requests.limiter", requests.limiter, limit.LIMITERS)
+    _check_name("requests.chooser", requests.chooser, load_balancing.CHOOSERS)
+    _check_name(
+        "requests.limiter", requests.limiter, concurrency_limits.LIMITERS
+    )
 
 
 def _check_name(key: str, name: str, known: abc.Iterable[str]) -> None:
--- a/laburnumsill/daemon/assembly.py
+++ b/laburnumsill/daemon/assembly.py
@@ -32,7 +32,7 @@
 from laburnumsill.jobs import scheduler
 from laburnumsill.jobs import service as job_service
 from laburnumsill.members import table
-from laburnumsill.requests import durable
+from laburnumsill.requests import durable_dispatch
 from laburnumsill.requests import router
 from laburnumsill.state import machines
 from laburnumsill.wire import network
@@ -115,7 +115,7 @@
             self._metrics,
             len(loaded.vms),
         )
-        self._durable = durable.DurableDispatcher(
+        self._durable = durable_dispatch.DurableDispatcher(
             self._router,
             self._host,
             self._current,
--- a/laburnumsill/requests/policies.py
+++ b/laburnumsill/requests/policies.py
@@ -6,8 +6,8 @@
 from laburnumsill.config import models
 from laburnumsill.core import errors
 from laburnumsill.core import logs
-from laburnumsill.requests import choose
-from laburnumsill.requests import limit
+from laburnumsill.requests import concurrency_limits
+from laburnumsill.requests import load_balancing
 
 
 class Policies:
@@ -40,13 +40,13 @@
         return configuration.requests
 
     @property
-    def chooser(self) -> choose.Chooser:
+    def chooser(self) -> load_balancing.Chooser:
         """The chooser in force."""
         self._refresh()
         return self._chooser
 
     @property
-    def limiter(self) -> limit.Limiter:
+    def limiter(self) -> concurrency_limits.Limiter:
         """The limiter in force."""
         self._refresh()
         return self._limiter
@@ -66,7 +66,7 @@
             self._make(models.RequestPolicy())
 
     def _make(self, policy: models.RequestPolicy) -> None:
-        self._chooser = choose.make_chooser(policy.chooser, self._rng)
-        self._limiter = limit.make_limiter(
+        self._chooser = load_balancing.make_chooser(policy.chooser, self._rng)
+        self._limiter = concurrency_limits.make_limiter(
             policy.limiter, self._entry_vms, policy.target_latency_ms / 1000
         )
--- a/laburnumsill/requests/tests/test_durable.py
+++ b/laburnumsill/requests/tests/test_durable.py
@@ -6,7 +6,7 @@
 import trio
 
 from laburnumsill.requests import accept
-from laburnumsill.requests import durable as dispatchers
+from laburnumsill.requests import durable_dispatch
 from laburnumsill.requests.tests import support
 from laburnumsill.testing import local_groups
 
@@ -43,7 +43,7 @@
     ):
         bench.view.add(server.address)
         for router, vm_groups in zip(routers, groups, strict=True):
-            dispatcher = dispatchers.DurableDispatcher(
+            dispatcher = durable_dispatch.DurableDispatcher(
                 router, vm_groups, bench.current, bench.clock, bench.metrics
             )
             await nursery.start(dispatcher.run)
--- a/laburnumsill/requests/tests/test_policies.py
+++ b/laburnumsill/requests/tests/test_policies.py
@@ -8,8 +8,8 @@
 from laburnumsill.config import current as current_module
 from laburnumsill.config import models
 from laburnumsill.core import members
-from laburnumsill.requests import choose
-from laburnumsill.requests import limit
+from laburnumsill.requests import concurrency_limits
+from laburnumsill.requests import load_balancing
 from laburnumsill.requests import policies
 from laburnumsill.requests import servers
 
@@ -23,17 +23,17 @@
 
 def test_default_policies_exist():
     policy = models.RequestPolicy()
-    assert policy.chooser in choose.CHOOSERS
-    assert policy.limiter in limit.LIMITERS
+    assert policy.chooser in load_balancing.CHOOSERS
+    assert policy.limiter in concurrency_limits.LIMITERS
 
 
 @hypothesis.given(
-    name=st.sampled_from(sorted(choose.CHOOSERS)),
+    name=st.sampled_from(sorted(load_balancing.CHOOSERS)),
     loads=st.lists(st.integers(0, 20), min_size=1, max_size=30),
 )
 def test_a_chooser_returns_a_candidate(name, loads):
     candidates = [state(str(n), in_flight=n) for n in loads]
-    chooser = choose.make_chooser(name, random.Random(1))
+    chooser = load_balancing.make_chooser(name, random.Random(1))
     assert chooser.choose(candidates) in candidates
 
 
@@ -41,18 +41,20 @@
     busy, idle = state("b", in_flight=5), state("i")
     for name in ("two-choices", "two-choices-reported", "least-in-flight"):
         assert (
-            choose.make_chooser(name, random.Random(1)).choose([busy, idle])
+            load_balancing.make_chooser(name, random.Random(1)).choose(
+                [busy, idle]
+            )
             is idle
         )
     slow, quick = state("s", latency_s=0.5), state("q", latency_s=0.1)
-    delay = choose.make_chooser("two-choices-delay", random.Random(1))
+    delay = load_balancing.make_chooser("two-choices-delay", random.Random(1))
     assert delay.choose([slow, quick]) is quick
 
 
 def test_hot_cold_prefers_the_fastest_cold_server():
     hot = state("h", in_flight=8, latency_s=0.01)
     slow, quick = state("s", latency_s=0.5), state("q", latency_s=0.1)
-    chooser = choose.make_chooser("hot-cold", random.Random(1))
+    chooser = load_balancing.make_chooser("hot-cold", random.Random(1))
     assert chooser.choose([hot, slow, quick]) is quick
 
 
@@ -66,7 +68,7 @@
     VMs below an equal share may be raised to it beyond the free slots.
     """
     busy = sum(own)
-    limiter = limit.make_limiter("borrowing", 8, 0.5)
+    limiter = concurrency_limits.make_limiter("borrowing", 8, 0.5)
     limits = []
     for own_in_flight in own:
         server_state = state(busy=busy, slots=slots)
@@ -78,12 +80,12 @@
 
 
 def test_fixed_limits_add_up_to_the_slots():
-    limiter = limit.make_limiter("fixed", 8, 0.5)
+    limiter = concurrency_limits.make_limiter("fixed", 8, 0.5)
     assert sum(limiter.limit(state(busy=3)) for _ in range(8)) == 8
 
 
 def test_adaptive_limit_decreases_with_latency_and_increases_with_use():
-    limiter = limit.make_limiter("adaptive", 8, 0.1)
+    limiter = concurrency_limits.make_limiter("adaptive", 8, 0.1)
     server_state = state()
     assert limiter.limit(server_state) == 1.0
     now = 0.0
@@ -123,5 +125,5 @@
     )
     current.put(current_module.Versioned(1, "1", configured))
     request_policies = policies.Policies(current, 8, random.Random(1))
-    assert isinstance(request_policies.chooser, choose.Chooser)
-    assert isinstance(request_policies.limiter, limit.Limiter)
+    assert isinstance(request_policies.chooser, load_balancing.Chooser)
+    assert isinstance(request_policies.limiter, concurrency_limits.Limiter)
