--- a/laburnumsill/api/services.py
+++ b/laburnumsill/api/services.py
@@ -159,7 +159,7 @@
             (headers.REQUEST_ID, request_id.encode()),
         )
         passed = list(answer.headers) + list(own)
-        whole = answer.whole_body
+        whole = answer.complete_body
         bodiless = answer.status in backend.BODILESS_STATUSES
         if whole is not None and not (bodiless or _has_length(passed)):
             passed.append((b"content-length", str(len(whole)).encode()))
@@ -220,7 +220,7 @@
         if not service:
             raise errors.InvalidInputError("the query lacks service=")
         key = messages.claim_key(service, account, request.path_params["key"])
-        return problems.json_response(await router.known(key))
+        return problems.json_response(await router.key_status(key))
 
     return [
         routing.Route(
--- a/laburnumsill/api/tests/test_services.py
+++ b/laburnumsill/api/tests/test_services.py
@@ -17,10 +17,10 @@
 
 @contextlib.asynccontextmanager
 async def serving(reply, **requests):
-    """Yields the address of the HTTP interface, the bench and the server."""
-    bench = support.Bench(**requests)
+    """Yields the address of the HTTP interface, the fixture and the server."""
+    fixture = support.RouterFixture(**requests)
     server = support.FakeServer(reply)
-    router = bench.router()
+    router = fixture.router()
     app = applications.Starlette(
         routes=[
             *services.routes(router),
@@ -33,13 +33,13 @@
     config.h11_max_incomplete_size = 32 * 1024
     async with (
         server.running(),
-        bench.running(router),
+        fixture.running(router),
         trio.open_nursery() as nursery,
     ):
-        bench.view.add(server.address)
+        fixture.view.add(server.address)
         serve = functools.partial(hypercorn.trio.serve, app, config)
         binds = await nursery.start(serve)
-        yield int(binds[0].rsplit(":", 1)[1]), bench, server
+        yield int(binds[0].rsplit(":", 1)[1]), fixture, server
         nursery.cancel_scope.cancel()
 
 
--- a/laburnumsill/clients/backend.py
+++ b/laburnumsill/clients/backend.py
@@ -162,7 +162,9 @@
             AnswerLostError: Some byte may have, and no answer came.
         """
 
-    async def tidy(self, present: collections_abc.Set[str]) -> None:
+    async def close_unused_connections(
+        self, present: collections_abc.Set[str]
+    ) -> None:
         """Closes idle connections to all but the `present` addresses."""
         return
 
@@ -195,7 +197,9 @@
         exchange = _Exchange(self._clock, server, request, deadline)
         return await exchange.start(pool)
 
-    async def tidy(self, present: collections_abc.Set[str]) -> None:
+    async def close_unused_connections(
+        self, present: collections_abc.Set[str]
+    ) -> None:
         """Closes idle connections, see the base class."""
         for address in self._pools.keys() - present:
             _, pool = self._pools[address]
--- a/laburnumsill/clients/tests/test_backend.py
+++ b/laburnumsill/clients/tests/test_backend.py
@@ -235,8 +235,8 @@
     async with script.running() as server:
         client = make_client()
         await exchange(client, server)
-        await client.tidy(frozenset({server.address}))
-        await client.tidy(frozenset())
+        await client.close_unused_connections(frozenset({server.address}))
+        await client.close_unused_connections(frozenset())
         await exchange(client, server)
         await client.aclose()
     assert script.connections == 2
--- a/laburnumsill/requests/at_most_once.py
+++ b/laburnumsill/requests/at_most_once.py
@@ -171,7 +171,7 @@
             grant = _GrantedClaim(request, status.attempt, group, policy)
             exchange = await self._dispatch(grant)
             result = await self._read_answer(grant, exchange, permit)
-            permit_transferred = result.whole_body is None
+            permit_transferred = result.complete_body is None
             return result
         finally:
             if not permit_transferred:
--- a/laburnumsill/requests/claim.py
+++ b/laburnumsill/requests/claim.py
@@ -81,7 +81,7 @@
         propose_deadline = min(
             request.deadline,
             self._clock.monotonic() + CLAIM_TIMEOUT_S,
-            request.arrived_at + claim_records.CLAIM_WINDOW_S,
+            request.arrived_at + claim_records.MAX_CLAIM_AGE_S,
         )
         granted = False
         maybe_committed = False
@@ -124,7 +124,7 @@
             request.claim_key, request.digest, self._clock.wall()
         )
         propose_deadline = (
-            self._clock.monotonic() + claim_records.REFUSE_PATIENCE_S
+            self._clock.monotonic() + claim_records.REFUSE_TIMEOUT_S
         )
         try:
             status: claim_records.ClaimStatus = await self._groups.propose(
--- a/laburnumsill/requests/messages.py
+++ b/laburnumsill/requests/messages.py
@@ -169,7 +169,7 @@
         self._on_close.append(callback)
 
     @property
-    def whole_body(self) -> bytes | None:
+    def complete_body(self) -> bytes | None:
         """The complete body, or None if it is streamed."""
         return self._body if isinstance(self._body, bytes) else None
 
--- a/laburnumsill/requests/router.py
+++ b/laburnumsill/requests/router.py
@@ -129,7 +129,7 @@
     async def _close_stale_connections(self) -> None:
         while True:
             await trio.sleep(CONNECTION_CLEANUP_INTERVAL_S)
-            await self._client.tidy(self._table.addresses())
+            await self._client.close_unused_connections(self._table.addresses())
 
     async def drain(self, deadline: float) -> None:
         """Refuses new requests and waits for those in flight.
@@ -174,7 +174,7 @@
         result.add_close_callback(self._decrement_in_flight)
         return result
 
-    async def known(self, key: str) -> lookup.KeyStatus:
+    async def key_status(self, key: str) -> lookup.KeyStatus:
         """Returns the status of an idempotency key, see `lookup.key_status`."""
         return await lookup.key_status(
             key, self._groups, self._configuration(), self._clock
--- a/laburnumsill/requests/settle.py
+++ b/laburnumsill/requests/settle.py
@@ -11,7 +11,7 @@
 from laburnumsill.state import answers
 from laburnumsill.state import claim_records
 
-OUTCOME_TIMEOUT_S = claim_records.REFUSE_PATIENCE_S
+OUTCOME_TIMEOUT_S = claim_records.REFUSE_TIMEOUT_S
 """Timeout for recording an outcome without an answer."""
 
 ANSWER_TIMEOUT_S = 5.0
--- a/laburnumsill/requests/tests/support.py
+++ b/laburnumsill/requests/tests/support.py
@@ -157,7 +157,7 @@
     )
 
 
-class Bench:
+class RouterFixture:
     """Groups, servers and a configuration shared by one or more routers."""
 
     def __init__(self, entry_vms: int = 1, **requests: typing.Any) -> None:
--- a/laburnumsill/requests/tests/test_at_most_once.py
+++ b/laburnumsill/requests/tests/test_at_most_once.py
@@ -53,52 +53,52 @@
 
 @contextlib.asynccontextmanager
 async def site(reply, **requests):
-    bench = support.Bench(**requests)
-    bench.groups = FaultyGroups(bench.machines)
+    fixture = support.RouterFixture(**requests)
+    fixture.groups = FaultyGroups(fixture.machines)
     server = support.FakeServer(reply)
-    router = bench.router()
-    async with server.running(), bench.running(router):
-        bench.view.add(server.address)
-        yield bench, server, router
+    router = fixture.router()
+    async with server.running(), fixture.running(router):
+        fixture.view.add(server.address)
+        yield fixture, server, router
 
 
-def confirm(bench, key="k"):
-    return support.head(bench.clock, "confirm", key)
+def confirm(fixture, key="k"):
+    return support.head(fixture.clock, "confirm", key)
 
 
 @pytest.mark.parametrize("faults", [["answer-lost"], ["lost", "answer-lost"]])
 async def test_lost_claim_proposal_is_retried_and_request_runs_once(faults):
-    async with site(support.respond(b"booked")) as (bench, server, router):
-        bench.groups.faults[claim_records.ClaimRequest] = faults
-        result = await support.send_request(router, confirm(bench))
-        await bench.groups.apply_late()
+    async with site(support.respond(b"booked")) as (fixture, server, router):
+        fixture.groups.faults[claim_records.ClaimRequest] = faults
+        result = await support.send_request(router, confirm(fixture))
+        await fixture.groups.apply_late()
         assert (result.body, len(server.calls)) == (b"booked", 1)
-        again = await support.send_request(router, confirm(bench))
+        again = await support.send_request(router, confirm(fixture))
         assert (again.body, len(server.calls)) == (b"booked", 1)
 
 
 async def test_abandoned_claim_never_runs_and_does_not_block_resends():
-    async with site(support.respond(b"booked")) as (bench, server, router):
-        bench.groups.faults[claim_records.ClaimRequest] = ["lost"] * 1000
+    async with site(support.respond(b"booked")) as (fixture, server, router):
+        fixture.groups.faults[claim_records.ClaimRequest] = ["lost"] * 1000
         with pytest.raises(messages.HomeUnreachableError) as caught:
-            await support.send_request(router, confirm(bench))
-        await bench.groups.apply_late()
+            await support.send_request(router, confirm(fixture))
+        await fixture.groups.apply_late()
         assert not server.calls
-        bench.groups.faults.clear()
+        fixture.groups.faults.clear()
         await trio.sleep(caught.value.retry_after_s)
-        result = await support.send_request(router, confirm(bench))
+        result = await support.send_request(router, confirm(fixture))
         assert (result.body, len(server.calls)) == (b"booked", 1)
 
 
 async def test_lost_settle_proposal_is_retried_in_the_background():
-    async with site(support.respond(b"booked")) as (bench, server, router):
-        bench.groups.faults[claim_records.SettleRequest] = ["lost"] * 3
-        result = await support.send_request(router, confirm(bench))
+    async with site(support.respond(b"booked")) as (fixture, server, router):
+        fixture.groups.faults[claim_records.SettleRequest] = ["lost"] * 3
+        result = await support.send_request(router, confirm(fixture))
         assert result.body == b"booked"
         with trio.fail_after(30):
             while True:
                 try:
-                    again = await support.send_request(router, confirm(bench))
+                    again = await support.send_request(router, confirm(fixture))
                     break
                 except errors.InProgressError:
                     await trio.sleep(0.1)
@@ -107,58 +107,58 @@
 
 async def test_request_is_answered_if_its_home_group_fails_before_settle():
     async with site(support.respond(b"booked", wait_s=0.2)) as (
-        bench,
+        fixture,
         server,
         router,
     ):
         results = []
 
         async def send():
-            results.append(await support.send_request(router, confirm(bench)))
+            results.append(await support.send_request(router, confirm(fixture)))
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send)
             await support.wait_until(lambda: len(server.calls) == 1)
-            bench.groups.unavailable.update(bench.machines)
+            fixture.groups.unavailable.update(fixture.machines)
         assert results[0].body == b"booked"
         with pytest.raises(messages.HomeUnreachableError):
-            await support.send_request(router, confirm(bench))
-        bench.groups.unavailable.clear()
+            await support.send_request(router, confirm(fixture))
+        fixture.groups.unavailable.clear()
         await trio.sleep(1.0)
-        again = await support.send_request(router, confirm(bench))
+        again = await support.send_request(router, confirm(fixture))
         assert (again.body, len(server.calls)) == (b"booked", 1)
 
 
 async def test_claim_of_a_failed_vm_becomes_unknown_and_is_not_run_again():
-    async with site(support.respond()) as (bench, server, router):
-        now = bench.clock.wall()
-        head = confirm(bench)
-        classified = classify.classify(head, bench.current.get())
+    async with site(support.respond()) as (fixture, server, router):
+        now = fixture.clock.wall()
+        head = confirm(fixture)
+        classified = classify.classify(head, fixture.current.get())
         request = classified.with_body(b"{}")
         abandoned_claim = claim_records.ClaimRequest(
             request.claim_key, request.digest, "att-dead", "vm9",
             now, now, now + 0.3, now + 99,
         )  # fmt: skip
-        for group in bench.machines:
-            await bench.groups.propose(group, abandoned_claim, 0.0)
+        for group in fixture.machines:
+            await fixture.groups.propose(group, abandoned_claim, 0.0)
         with pytest.raises(errors.InProgressError):
-            await support.send_request(router, confirm(bench))
+            await support.send_request(router, confirm(fixture))
         await trio.sleep(0.4)
         with pytest.raises(errors.OutcomeUnknownError):
-            await support.send_request(router, confirm(bench))
+            await support.send_request(router, confirm(fixture))
         assert not server.calls
 
 
 async def test_rejection_under_overload_fences_off_the_key():
     slow = support.respond(b"booked", wait_s=0.6)
-    async with site(slow) as (bench, server, router):
-        bench.view.all = ()
-        bench.view.add(server.address, slots=1)
-        configured = bench.current.get()
+    async with site(slow) as (fixture, server, router):
+        fixture.view.all = ()
+        fixture.view.add(server.address, slots=1)
+        configured = fixture.current.get()
         short_wait = configured.classes["confirm"].model_copy(
             update={"max_wait_ms": 100}
         )
-        bench.put(
+        fixture.put(
             configured.model_copy(
                 update={
                     "classes": {**configured.classes, "confirm": short_wait}
@@ -167,80 +167,80 @@
         )
         async with trio.open_nursery() as nursery:
             nursery.start_soon(
-                support.send_request, router, confirm(bench, "k1")
+                support.send_request, router, confirm(fixture, "k1")
             )
             await support.wait_until(lambda: len(server.calls) == 1)
-            earlier_send = confirm(bench, "k2")
+            earlier_send = confirm(fixture, "k2")
             with pytest.raises(errors.OverloadedError) as caught:
-                await support.send_request(router, confirm(bench, "k2"))
+                await support.send_request(router, confirm(fixture, "k2"))
             with pytest.raises(errors.InProgressError):
-                await support.send_request(router, confirm(bench, "k1"))
+                await support.send_request(router, confirm(fixture, "k1"))
         # A send that arrived before the rejection is fenced off.
-        other_router = bench.router("vm1")
-        async with bench.running(other_router):
+        other_router = fixture.router("vm1")
+        async with fixture.running(other_router):
             with pytest.raises(errors.UnavailableError):
                 await support.send_request(other_router, earlier_send)
         await trio.sleep(caught.value.retry_after_s)
-        result = await support.send_request(router, confirm(bench, "k2"))
+        result = await support.send_request(router, confirm(fixture, "k2"))
         assert (result.body, len(server.calls)) == (b"booked", 2)
 
 
 async def test_draining_vm_returns_stored_answers_and_rejects_new_keys():
-    async with site(support.respond(b"booked")) as (bench, server, router):
-        await support.send_request(router, confirm(bench, "k1"))
-        await router.drain(bench.clock.monotonic())
-        again = await support.send_request(router, confirm(bench, "k1"))
+    async with site(support.respond(b"booked")) as (fixture, server, router):
+        await support.send_request(router, confirm(fixture, "k1"))
+        await router.drain(fixture.clock.monotonic())
+        again = await support.send_request(router, confirm(fixture, "k1"))
         assert again.body == b"booked"
         with pytest.raises(messages.DrainingError):
-            await support.send_request(router, confirm(bench, "k2"))
+            await support.send_request(router, confirm(fixture, "k2"))
         assert len(server.calls) == 1
 
 
 async def test_unexpected_error_fails_one_request_and_not_the_router():
-    async with site(support.respond(b"booked")) as (bench, server, router):
-        propose = bench.groups.propose
+    async with site(support.respond(b"booked")) as (fixture, server, router):
+        propose = fixture.groups.propose
 
         async def broken(group, command, deadline):
             raise RuntimeError("a bug")
 
-        bench.groups.propose = broken
+        fixture.groups.propose = broken
         with pytest.raises(errors.LaburnumsillError) as caught:
-            await support.send_request(router, confirm(bench))
+            await support.send_request(router, confirm(fixture))
         assert answer.outcome_of(caught.value) == "unknown"
-        bench.groups.propose = propose
-        result = await support.send_request(router, confirm(bench))
+        fixture.groups.propose = propose
+        result = await support.send_request(router, confirm(fixture))
         assert (result.body, len(server.calls)) == (b"booked", 1)
 
 
 async def test_key_has_unknown_outcome_without_a_configuration():
-    async with site(support.respond()) as (bench, _, _):
-        bench.current = current_module.Current()
-        router = bench.router("vm1")
+    async with site(support.respond()) as (fixture, _, _):
+        fixture.current = current_module.Current()
+        router = fixture.router("vm1")
         with pytest.raises(messages.HomeUnreachableError):
-            await support.send_request(router, confirm(bench))
+            await support.send_request(router, confirm(fixture))
         with pytest.raises(errors.UnavailableError):
-            await support.send_request(router, support.head(bench.clock))
+            await support.send_request(router, support.head(fixture.clock))
 
 
 async def test_buffered_bodies_are_limited_per_account():
     async with site(support.respond(b"x", wait_s=0.5)) as (
-        bench,
+        fixture,
         server,
         router,
     ):
-        reader = read_body.BodyReader(bench.clock, 1_000)
+        reader = read_body.BodyReader(fixture.clock, 1_000)
         router._body_reader = reader
         async with trio.open_nursery() as nursery:
-            check = support.head(bench.clock, "check", account="flood")
+            check = support.head(fixture.clock, "check", account="flood")
             nursery.start_soon(support.send_request, router, check, b"x" * 400)
             await support.wait_until(lambda: len(server.calls) == 1)
             with pytest.raises(errors.OverloadedError):
                 await support.send_request(router, check, b"x" * 200)
-            booking = support.head(bench.clock, "confirm", "k", "flood")
+            booking = support.head(fixture.clock, "confirm", "k", "flood")
             with pytest.raises(read_body.UnreadError):
                 await support.send_request(router, booking, b"x" * 200)
             await support.send_request(
-                router, support.head(bench.clock), b"x" * 200
+                router, support.head(fixture.clock), b"x" * 200
             )
         assert reader.buffered_bytes == 0
 
--- a/laburnumsill/requests/tests/test_isolation.py
+++ b/laburnumsill/requests/tests/test_isolation.py
@@ -31,7 +31,7 @@
     """
 
     def __init__(self, **requests):
-        bench = support.Bench(**requests)
+        fixture = support.RouterFixture(**requests)
         self.clock = model_servers.VirtualClock()
         self.models = [
             model_servers.ModelServer(
@@ -45,9 +45,9 @@
         self.client = model_servers.ModelClient(self.models)
         self.router = routers.RequestRouter(
             topology.Vm("vm0", "north", "", "", True),
-            bench.groups,
+            fixture.groups,
             self.view,
-            bench.current,
+            fixture.current,
             self.client,
             self.clock,
             metrics.Metrics(),
--- a/laburnumsill/requests/tests/test_router.py
+++ b/laburnumsill/requests/tests/test_router.py
@@ -12,17 +12,21 @@
 
 @contextlib.asynccontextmanager
 async def one_server(reply, **requests):
-    bench = support.Bench(**requests)
+    fixture = support.RouterFixture(**requests)
     server = support.FakeServer(reply)
-    router = bench.router()
-    async with server.running(), bench.running(router):
-        bench.view.add(server.address)
-        yield bench, server, router
+    router = fixture.router()
+    async with server.running(), fixture.running(router):
+        fixture.view.add(server.address)
+        yield fixture, server, router
 
 
 async def test_repeatable_request_is_forwarded():
-    async with one_server(support.respond(b"free")) as (bench, server, router):
-        result = await support.send_request(router, support.head(bench.clock))
+    async with one_server(support.respond(b"free")) as (
+        fixture,
+        server,
+        router,
+    ):
+        result = await support.send_request(router, support.head(fixture.clock))
         assert (result.outcome, result.status) == ("answered", 200)
         assert result.body == b"free"
         call = server.calls[0]
@@ -35,15 +39,15 @@
 
 async def test_resend_through_another_vm_gets_the_stored_answer():
     async with one_server(support.respond(b"booked")) as (
-        bench,
+        fixture,
         server,
         first_router,
     ):
-        second_router = bench.router("vm1")
-        async with bench.running(second_router):
-            request_head = support.head(bench.clock, "confirm", "k1")
+        second_router = fixture.router("vm1")
+        async with fixture.running(second_router):
+            request_head = support.head(fixture.clock, "confirm", "k1")
             first = await support.send_request(first_router, request_head)
-            resend = support.head(bench.clock, "confirm", "k1")
+            resend = support.head(fixture.clock, "confirm", "k1")
             second = await support.send_request(second_router, resend)
         assert first == second
         assert len(server.calls) == 1
@@ -52,13 +56,13 @@
 
 async def test_concurrent_resends_run_once():
     slow = support.respond(b"booked", wait_s=0.1)
-    async with one_server(slow) as (bench, server, first_router):
-        second_router = bench.router("vm1")
+    async with one_server(slow) as (fixture, server, first_router):
+        second_router = fixture.router("vm1")
         outcomes = []
 
         async def send(router):
             try:
-                head = support.head(bench.clock, "confirm", "k1")
+                head = support.head(fixture.clock, "confirm", "k1")
                 outcomes.append(
                     (await support.send_request(router, head)).outcome
                 )
@@ -66,7 +70,10 @@
                 assert error.retry_after_s
                 outcomes.append("in-progress")
 
-        async with bench.running(second_router), trio.open_nursery() as nursery:
+        async with (
+            fixture.running(second_router),
+            trio.open_nursery() as nursery,
+        ):
             nursery.start_soon(send, first_router)
             nursery.start_soon(send, second_router)
         assert sorted(outcomes) == ["answered", "in-progress"]
@@ -74,8 +81,8 @@
 
 
 async def test_key_reused_with_another_body_is_refused():
-    async with one_server(support.respond()) as (bench, server, router):
-        head = support.head(bench.clock, "confirm", "k1")
+    async with one_server(support.respond()) as (fixture, server, router):
+        head = support.head(fixture.clock, "confirm", "k1")
         await support.send_request(router, head, b"a")
         with pytest.raises(errors.KeyReusedError):
             await support.send_request(router, head, b"b")
@@ -96,8 +103,8 @@
     ],
 )
 async def test_lost_answer_is_unknown_and_never_runs_again(text):
-    async with one_server(support.raw(text)) as (bench, server, router):
-        head = support.head(bench.clock, "confirm", "k1")
+    async with one_server(support.raw(text)) as (fixture, server, router):
+        head = support.head(fixture.clock, "confirm", "k1")
         for _ in range(2):
             with pytest.raises(errors.OutcomeUnknownError):
                 await support.send_request(router, head)
@@ -106,32 +113,32 @@
 
 async def test_request_with_a_refused_connection_is_not_run_and_may_be_resent():
     async with one_server(support.respond(b"booked")) as (
-        bench,
+        fixture,
         server,
         router,
     ):
-        bench.view.all = ()
+        fixture.view.all = ()
         listener = await trio.open_tcp_listeners(0, host="127.0.0.1")
         port = listener[0].socket.getsockname()[1]
         await listener[0].aclose()
-        bench.view.add(f"127.0.0.1:{port}")
+        fixture.view.add(f"127.0.0.1:{port}")
         with pytest.raises(errors.NoServerError) as caught:
             await support.send_request(
-                router, support.head(bench.clock, "confirm", "k")
+                router, support.head(fixture.clock, "confirm", "k")
             )
         assert caught.value.retry_after_s
-        bench.view.all = ()
-        bench.view.add(server.address)
+        fixture.view.all = ()
+        fixture.view.add(server.address)
         await trio.sleep(caught.value.retry_after_s)
-        head = support.head(bench.clock, "confirm", "k")
+        head = support.head(fixture.clock, "confirm", "k")
         assert (await support.send_request(router, head)).body == b"booked"
         assert len(server.calls) == 1
 
 
 async def test_streamed_answer_over_the_limit_is_complete_and_not_stored():
     big = b"x" * 300_000
-    async with one_server(support.respond(big)) as (bench, server, router):
-        head = support.head(bench.clock, "confirm", "k1")
+    async with one_server(support.respond(big)) as (fixture, server, router):
+        head = support.head(fixture.clock, "confirm", "k1")
         assert (await support.send_request(router, head)).body == big
         await trio.sleep(0.05)
         with pytest.raises(messages.AnswerNotKeptError):
@@ -140,42 +147,42 @@
 
 
 async def test_request_with_unreachable_home_group_has_unknown_outcome():
-    async with one_server(support.respond()) as (bench, server, router):
-        bench.groups.unavailable.update(bench.machines)
+    async with one_server(support.respond()) as (fixture, server, router):
+        fixture.groups.unavailable.update(fixture.machines)
         with pytest.raises(messages.HomeUnreachableError):
             await support.send_request(
-                router, support.head(bench.clock, "confirm", "k")
+                router, support.head(fixture.clock, "confirm", "k")
             )
         assert not server.calls
 
 
 async def test_outcome_is_recorded_after_the_caller_disconnects():
     slow = support.respond(b"booked", wait_s=0.2)
-    async with one_server(slow) as (bench, server, router):
+    async with one_server(slow) as (fixture, server, router):
         with trio.move_on_after(0.05):
             await support.send_request(
-                router, support.head(bench.clock, "confirm", "k")
+                router, support.head(fixture.clock, "confirm", "k")
             )
         await trio.sleep(0.4)
-        head = support.head(bench.clock, "confirm", "k")
+        head = support.head(fixture.clock, "confirm", "k")
         assert (await support.send_request(router, head)).body == b"booked"
         assert len(server.calls) == 1
 
 
 async def test_drain_waits_for_requests_in_flight_and_rejects_new_ones():
     slow = support.respond(b"late", wait_s=0.3)
-    async with one_server(slow) as (bench, server, router):
+    async with one_server(slow) as (fixture, server, router):
         bodies = []
 
         async def send():
-            head = support.head(bench.clock, "check")
+            head = support.head(fixture.clock, "check")
             bodies.append((await support.send_request(router, head)).body)
 
         async with trio.open_nursery() as nursery:
             nursery.start_soon(send)
             await trio.sleep(0.1)
-            nursery.start_soon(router.drain, bench.clock.monotonic() + 5)
+            nursery.start_soon(router.drain, fixture.clock.monotonic() + 5)
             await trio.sleep(0.05)
             with pytest.raises(messages.DrainingError):
-                await support.send_request(router, support.head(bench.clock))
+                await support.send_request(router, support.head(fixture.clock))
         assert bodies == [b"late"]
--- a/laburnumsill/state/claim_records.py
+++ b/laburnumsill/state/claim_records.py
@@ -7,17 +7,17 @@
 from laburnumsill.core import codec
 from laburnumsill.state import answers
 
-REFUSE_PATIENCE_S = 0.5
+REFUSE_TIMEOUT_S = 0.5
 """Timeout of a VM that waits for the commit of a `RefuseRequest` before it
 answers its caller."""
 
-FENCE_S = REFUSE_PATIENCE_S + clock.MAX_CLOCK_DRIFT_S
+FENCE_S = REFUSE_TIMEOUT_S + clock.MAX_CLOCK_DRIFT_S
 """Offset of the fence from the time of the command that raises it."""
 
-CLAIM_WINDOW_S = 30.0
+MAX_CLAIM_AGE_S = 30.0
 """Maximum age of a request for which a VM proposes a claim."""
 
-NOT_RUN_RETENTION_S = 2 * CLAIM_WINDOW_S
+NOT_RUN_RETENTION_S = 2 * MAX_CLAIM_AGE_S
 """Retention of the record of a request that was not run."""
 
 
