--- a/laburnumsill/daemon/configuration_fetch.py
+++ b/laburnumsill/daemon/configuration_fetch.py
@@ -22,7 +22,7 @@
 
 Open = abc.Callable[
     [configuration_versions.AcceptedConfiguration],
-    configuration_versions.OpenedVersion,
+    configuration_versions.ParsedVersion,
 ]
 """Returns a version with its values."""
 
@@ -38,7 +38,7 @@
     """
 
     whole: configuration_versions.AcceptedConfiguration | None = None
-    reached: configuration_versions.OpenedVersion | None = None
+    reached: configuration_versions.ParsedVersion | None = None
     steps: abc.Sequence[configuration_versions.VersionStep] = ()
 
 
@@ -74,12 +74,12 @@
     base: configuration_versions.AcceptedConfiguration,
     steps: abc.Iterable[configuration_versions.VersionStep],
     open_version: Open,
-) -> configuration_versions.OpenedVersion | None:
+) -> configuration_versions.ParsedVersion | None:
     """Returns what steps lead to from a version, None if they do not fit."""
     try:
         reached = open_version(base)
         for step in steps:
-            reached = reached.after(step)
+            reached = reached.apply(step)
             await trio.lowlevel.checkpoint()
     except difference.UnfitDifferenceError as error:
         logs.event(
--- a/laburnumsill/daemon/configuration_sync.py
+++ b/laburnumsill/daemon/configuration_sync.py
@@ -107,8 +107,8 @@
         self._offered: configuration_versions.AcceptedConfiguration | None = (
             None
         )
-        self._opened: configuration_versions.OpenedVersion | None = None
-        self._steps = configuration_versions.Steps()
+        self._opened: configuration_versions.ParsedVersion | None = None
+        self._steps = configuration_versions.StepQueue()
         self._decoder = configuration_decoding.Decoder()
         self._said: dict[str, messages.InForceNotice] = {}
         self._observed: replication.StateMachine | None = None
@@ -167,7 +167,7 @@
 
     def _adopt_opened(
         self,
-        reached: configuration_versions.OpenedVersion,
+        reached: configuration_versions.ParsedVersion,
         steps: abc.Sequence[configuration_versions.VersionStep],
     ) -> None:
         """Does the same with a version that steps led to.
@@ -314,17 +314,17 @@
         base = self._accepted
         if offered.step is not None and base is not None:
             with contextlib.suppress(difference.UnfitDifferenceError):
-                reached = self._open(base).after(offered.step)
+                reached = self._open(base).apply(offered.step)
                 self._adopt_opened(reached, [offered.step])
                 return
         self._adopt(offered)
 
     def _open(
         self, accepted: configuration_versions.AcceptedConfiguration
-    ) -> configuration_versions.OpenedVersion:
+    ) -> configuration_versions.ParsedVersion:
         """Returns a version with its values, which are kept for the newest."""
         if self._opened is None or self._opened.accepted is not accepted:
-            self._opened = configuration_versions.opened(accepted)
+            self._opened = configuration_versions.parse_version(accepted)
         return self._opened
 
     def _look_at_replica(self) -> None:
@@ -341,8 +341,8 @@
         if log.current is None or log.version <= self._current.version:
             return
         steps = log.steps_since(self._current.version)
-        if steps and log.opened is not None:
-            self._adopt_opened(log.opened, steps)
+        if steps and log.parsed is not None:
+            self._adopt_opened(log.parsed, steps)
         else:
             self._adopt(log.current)
 
--- a/laburnumsill/state/configuration.py
+++ b/laburnumsill/state/configuration.py
@@ -24,10 +24,10 @@
 MAX_BODY_BYTES = 1024 * 1024
 """Limit of the size of a configuration in canonical JSON."""
 
-KEPT_BODIES = 8
+MAX_STORED_BODIES = 8
 """Number of the newest versions whose complete configuration is stored."""
 
-KEPT_ANSWERS = 4096
+MAX_STORED_ANSWERS = 4096
 """Number of the newest accepted pushes whose answers are stored."""
 
 COMPONENT_NAME = "configuration"
@@ -188,9 +188,9 @@
         self._by_push: dict[str, PushAccepted] = {}
         self._bodies: collections.deque[
             configuration_versions.AcceptedConfiguration
-        ] = collections.deque(maxlen=KEPT_BODIES)
-        self._steps = configuration_versions.Steps()
-        self._opened: configuration_versions.OpenedVersion | None = None
+        ] = collections.deque(maxlen=MAX_STORED_BODIES)
+        self._steps = configuration_versions.StepQueue()
+        self._parsed: configuration_versions.ParsedVersion | None = None
 
     @property
     def name(self) -> str:
@@ -208,15 +208,15 @@
         return self._bodies[-1].version if self._bodies else 0
 
     @property
-    def opened(self) -> configuration_versions.OpenedVersion | None:
+    def parsed(self) -> configuration_versions.ParsedVersion | None:
         """The newest accepted version with its parsed body.
 
         Raises:
             difference.UnfitDifferenceError: The body is not valid JSON.
         """
-        if self._opened is None and self.current is not None:
-            self._opened = configuration_versions.opened(self.current)
-        return self._opened
+        if self._parsed is None and self.current is not None:
+            self._parsed = configuration_versions.parse_version(self.current)
+        return self._parsed
 
     def commands(self) -> dict[type, replication.Handler]:
         """Returns the handlers by command type."""
@@ -278,7 +278,7 @@
 
         Raises:
             errors.NotFoundError: The version was not accepted, or is older
-                than the `KEPT_BODIES` newest ones.
+                than the `MAX_STORED_BODIES` newest ones.
         """
         for accepted in self._bodies:
             if accepted.version == query.version:
@@ -310,10 +310,10 @@
         }
         self._bodies = collections.deque(
             configuration_versions.restore_bodies(snapshot.bodies),
-            maxlen=KEPT_BODIES,
+            maxlen=MAX_STORED_BODIES,
         )
-        self._steps = configuration_versions.Steps(snapshot.steps)
-        self._opened = None
+        self._steps = configuration_versions.StepQueue(snapshot.steps)
+        self._parsed = None
 
     def _read_current(self, query: ReadCurrent) -> CurrentAnswer:
         return CurrentAnswer(self.current)
@@ -332,7 +332,7 @@
         if isinstance(command, PushConfiguration):
             self._add_whole(command, accepted)
             return
-        base = self.opened
+        base = self.parsed
         if base is None:
             raise difference.UnfitDifferenceError("there is no version before")
         step = configuration_versions.VersionStep(
@@ -342,16 +342,16 @@
             accepted.accepted_at,
             command.change,
         )
-        newest = base.after(step)
+        newest = base.apply(step)
         _check_body(newest.document.text, command.digest)
-        self._opened = newest
+        self._parsed = newest
         self._bodies.append(newest.accepted)
         self._steps.add(step)
 
     def _add_whole(
         self, command: PushConfiguration, accepted: PushAccepted
     ) -> None:
-        self._opened = None
+        self._parsed = None
         self._steps.clear()
         self._bodies.append(
             configuration_versions.AcceptedConfiguration(
@@ -367,7 +367,7 @@
         """Stores the answer to a push for its resends."""
         self._answers.append(KeptAnswer(push_id, accepted))
         self._by_push[push_id] = accepted
-        if len(self._answers) > KEPT_ANSWERS:
+        if len(self._answers) > MAX_STORED_ANSWERS:
             del self._by_push[self._answers.popleft().push_id]
 
     def _conflict(self, command: Push) -> errors.LaburnumsillError:
--- a/laburnumsill/state/configuration_versions.py
+++ b/laburnumsill/state/configuration_versions.py
@@ -11,10 +11,10 @@
 from laburnumsill.config import difference
 from laburnumsill.core import codec
 
-KEPT_STEPS = 64
+MAX_STORED_STEPS = 64
 """Number of the newest versions whose differences are stored."""
 
-KEPT_STEP_BYTES = 512 * 1024
+MAX_STORED_STEP_BYTES = 512 * 1024
 """Limit of the total size of the stored differences."""
 
 
@@ -89,11 +89,11 @@
     steps: list[VersionStep] = dataclasses.field(default_factory=list)
 
 
-class Steps:
+class StepQueue:
     """Bounded queue of consecutive steps to the newest version.
 
     Examples:
-        >>> steps = Steps()
+        >>> steps = StepQueue()
         >>> for version in (7, 8):
         ...     change = difference.Difference()
         ...     steps.add(VersionStep(version, "", "ann", 0.0, change))
@@ -115,7 +115,10 @@
             self.clear()
         self._steps.append(step)
         self._size += step.change.size
-        while len(self._steps) > KEPT_STEPS or self._size > KEPT_STEP_BYTES:
+        while (
+            len(self._steps) > MAX_STORED_STEPS
+            or self._size > MAX_STORED_STEP_BYTES
+        ):
             self._size -= self._steps.popleft().change.size
 
     def clear(self) -> None:
@@ -137,7 +140,7 @@
 def update_since(
     version: int,
     current: AcceptedConfiguration | None,
-    steps: Steps,
+    steps: StepQueue,
 ) -> ConfigurationUpdate:
     """Returns the update from a version to the current version.
 
@@ -158,7 +161,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OpenedVersion:
+class ParsedVersion:
     """An accepted version with its parsed body, to apply steps to.
 
     Attributes:
@@ -169,7 +172,7 @@
     accepted: AcceptedConfiguration
     document: difference.Document
 
-    def after(self, step: VersionStep) -> "OpenedVersion":
+    def apply(self, step: VersionStep) -> "ParsedVersion":
         """Returns the version that results from a step.
 
         Raises:
@@ -190,16 +193,16 @@
             document.text,
             step.change,
         )
-        return OpenedVersion(accepted, document)
+        return ParsedVersion(accepted, document)
 
 
-def opened(accepted: AcceptedConfiguration) -> OpenedVersion:
+def parse_version(accepted: AcceptedConfiguration) -> ParsedVersion:
     """Returns a version with its parsed body.
 
     Raises:
         difference.UnfitDifferenceError: The body is not valid JSON.
     """
-    return OpenedVersion(accepted, difference.Document.parse(accepted.body))
+    return ParsedVersion(accepted, difference.Document.parse(accepted.body))
 
 
 def omit_derivable_bodies(
@@ -223,10 +226,10 @@
 ) -> list[AcceptedConfiguration]:
     """Returns the versions that were passed to `omit_derivable_bodies`."""
     bodies: list[AcceptedConfiguration] = []
-    before: OpenedVersion | None = None
+    before: ParsedVersion | None = None
     for accepted in packed:
         if bodies and accepted.step is not None:
-            before = (before or opened(bodies[-1])).after(accepted.step)
+            before = (before or parse_version(bodies[-1])).apply(accepted.step)
             accepted = before.accepted
         else:
             before = None
--- a/laburnumsill/state/tests/test_configuration.py
+++ b/laburnumsill/state/tests/test_configuration.py
@@ -56,7 +56,7 @@
 
 
 def test_stored_versions_and_answers_are_bounded_and_restored(monkeypatch):
-    monkeypatch.setattr(configuration, "KEPT_ANSWERS", 20)
+    monkeypatch.setattr(configuration, "MAX_STORED_ANSWERS", 20)
     log = configuration.ConfigurationLog()
     first = [log.push(push(f"k{n}", n, b"%d" % n)) for n in range(50)]
     again = configuration.ConfigurationLog()
--- a/laburnumsill/state/tests/test_configuration_difference.py
+++ b/laburnumsill/state/tests/test_configuration_difference.py
@@ -148,8 +148,11 @@
 def test_stored_steps_are_bounded_by_number_and_size(monkeypatch):
     log = log_with(200)
     assert log.steps_since(100) is None
-    assert len(log.steps_since(200 - configuration_versions.KEPT_STEPS)) == 64
-    monkeypatch.setattr(configuration_versions, "KEPT_STEP_BYTES", 100)
+    assert (
+        len(log.steps_since(200 - configuration_versions.MAX_STORED_STEPS))
+        == 64
+    )
+    monkeypatch.setattr(configuration_versions, "MAX_STORED_STEP_BYTES", 100)
     log.push(as_difference(full_push(200), log.current.body))
     assert len(log.steps_since(200)) == 1
     assert log.steps_since(190) is None
