--- a/laburnumsill/api/services.py
+++ b/laburnumsill/api/services.py
@@ -161,7 +161,7 @@
             (headers.REQUEST_ID, request_id.encode()),
         )
         sent_headers = list(answer.headers) + list(own_headers)
-        body = answer.whole_body
+        body = answer.complete_body
         bodiless = answer.status in backend.BODILESS_STATUSES
         if body is not None and not (bodiless or _has_length(sent_headers)):
             sent_headers.append((b"content-length", str(len(body)).encode()))
@@ -223,7 +223,7 @@
         if not service:
             raise errors.InvalidInputError("the query lacks service=")
         key = messages.claim_key(service, account, request.path_params["key"])
-        return problems.json_response(await router.known(key))
+        return problems.json_response(await router.key_status(key))
 
     return [
         routing.Route(
--- a/laburnumsill/clients/tests/test_backend.py
+++ b/laburnumsill/clients/tests/test_backend.py
@@ -238,8 +238,8 @@
     async with scripted.running() as server:
         client = make_client()
         await exchange(client, server)
-        await client.tidy(frozenset({server.address}))
-        await client.tidy(frozenset())
+        await client.close_unused_connections(frozenset({server.address}))
+        await client.close_unused_connections(frozenset())
         await exchange(client, server)
         await client.aclose()
     assert scripted.connections == 2
--- a/laburnumsill/daemon/configuration_fetch.py
+++ b/laburnumsill/daemon/configuration_fetch.py
@@ -22,7 +22,7 @@
 
 Parse = abc.Callable[
     [configuration_versions.AcceptedConfiguration],
-    configuration_versions.OpenedVersion,
+    configuration_versions.ParsedVersion,
 ]
 """Returns a version with its parsed document."""
 
@@ -38,7 +38,7 @@
     """
 
     whole: configuration_versions.AcceptedConfiguration | None = None
-    patched: configuration_versions.OpenedVersion | None = None
+    patched: configuration_versions.ParsedVersion | None = None
     steps: abc.Sequence[configuration_versions.VersionStep] = ()
 
 
@@ -74,12 +74,12 @@
     base: configuration_versions.AcceptedConfiguration,
     steps: abc.Iterable[configuration_versions.VersionStep],
     parse_version: Parse,
-) -> configuration_versions.OpenedVersion | None:
+) -> configuration_versions.ParsedVersion | None:
     """Returns the version after the steps, None if one does not apply."""
     try:
         patched = parse_version(base)
         for step in steps:
-            patched = patched.after(step)
+            patched = patched.apply(step)
             await trio.lowlevel.checkpoint()
     except difference.UnfitDifferenceError as error:
         logs.event(
--- a/laburnumsill/daemon/configuration_sync.py
+++ b/laburnumsill/daemon/configuration_sync.py
@@ -113,8 +113,8 @@
         self._offered_version: (
             configuration_versions.AcceptedConfiguration | None
         ) = None
-        self._parsed_version: configuration_versions.OpenedVersion | None = None
-        self._steps = configuration_versions.Steps()
+        self._parsed_version: configuration_versions.ParsedVersion | None = None
+        self._steps = configuration_versions.StepQueue()
         self._decoder = configuration_decoding.Decoder()
         self._notices: dict[str, messages.InForceNotice] = {}
         self._observed_machine: replication.StateMachine | None = None
@@ -173,7 +173,7 @@
 
     def _adopt_patched(
         self,
-        patched: configuration_versions.OpenedVersion,
+        patched: configuration_versions.ParsedVersion,
         steps: abc.Sequence[configuration_versions.VersionStep],
     ) -> None:
         """Puts a version in force that was obtained by applying steps.
@@ -324,20 +324,22 @@
         base = self._accepted
         if offered.step is not None and base is not None:
             with contextlib.suppress(difference.UnfitDifferenceError):
-                patched = self._parse(base).after(offered.step)
+                patched = self._parse(base).apply(offered.step)
                 self._adopt_patched(patched, [offered.step])
                 return
         self._adopt(offered)
 
     def _parse(
         self, accepted: configuration_versions.AcceptedConfiguration
-    ) -> configuration_versions.OpenedVersion:
+    ) -> configuration_versions.ParsedVersion:
         """Returns a version with its parsed document, which is cached."""
         if (
             self._parsed_version is None
             or self._parsed_version.accepted is not accepted
         ):
-            self._parsed_version = configuration_versions.opened(accepted)
+            self._parsed_version = configuration_versions.parse_version(
+                accepted
+            )
         return self._parsed_version
 
     def _adopt_replicated(self) -> None:
@@ -354,8 +356,8 @@
         if log.current is None or log.version <= self._current.version:
             return
         steps = log.steps_since(self._current.version)
-        if steps and log.opened is not None:
-            self._adopt_patched(log.opened, steps)
+        if steps and log.parsed is not None:
+            self._adopt_patched(log.parsed, steps)
         else:
             self._adopt(log.current)
 
--- a/laburnumsill/requests/accept.py
+++ b/laburnumsill/requests/accept.py
@@ -8,7 +8,7 @@
 from laburnumsill.core import errors
 from laburnumsill.core import logs
 from laburnumsill.core import replication
-from laburnumsill.requests import home
+from laburnumsill.requests import home_groups
 from laburnumsill.requests import messages
 from laburnumsill.state import durable
 
@@ -43,7 +43,7 @@
         request: messages.RoutedRequest,
         configuration: models.Configuration,
     ) -> messages.Answer:
-        """Commits a request and returns its acceptance or known result.
+        """Commits a request and returns its acceptance or recorded result.
 
         Raises:
             errors.OverloadedError: The request was not accepted, and no
@@ -54,7 +54,7 @@
             DurableExpiredError: The request was accepted before and ended
                 without success.
         """
-        group = home.home_group(request.claim_key, configuration)
+        group = home_groups.home_group(request.claim_key, configuration)
         command = self._command(request, configuration.requests)
         propose_deadline = min(
             request.deadline, self._clock.monotonic() + ACCEPT_TIMEOUT_S
@@ -127,4 +127,4 @@
         return messages.Answer(messages.Outcome.ACCEPTED, 202, headers, body)
     if state is durable.DurableState.SUCCEEDED:
         return messages.Answer(messages.Outcome.ANSWERED, 200, headers, body)
-    raise DurableExpiredError(f"it ended as {state}", state=str(state))
+    raise DurableExpiredError(f"the request ended as {state}", state=str(state))
--- a/laburnumsill/requests/once.py
+++ b/laburnumsill/requests/at_most_once.py
@@ -20,7 +20,7 @@
 from laburnumsill.requests import claim
 from laburnumsill.requests import dispatch
 from laburnumsill.requests import headers
-from laburnumsill.requests import home
+from laburnumsill.requests import home_groups
 from laburnumsill.requests import messages
 from laburnumsill.requests import settle
 from laburnumsill.state import answers as stored_answers
@@ -75,7 +75,7 @@
 
     @property
     def running(self) -> int:
-        """Number of requests in progress, also of disconnected callers."""
+        """Requests in progress, including those of disconnected callers."""
         return self._running
 
     def start(self, nursery: trio.Nursery) -> None:
@@ -112,7 +112,7 @@
         configuration: models.Configuration,
         error: errors.LaburnumsillError,
     ) -> messages.Answer:
-        """Returns the stored answer of a key whose request is not to be run.
+        """Fences off a rejected request's key, or returns its stored answer.
 
         `error` reports the outcome "not run". It is raised only after the
         home group has fenced off the key, so that no send of it that has
@@ -122,7 +122,7 @@
             errors.LaburnumsillError: `error`, or the status of an earlier
                 send that ran or may have run.
         """
-        group = home.home_group(request.claim_key, configuration)
+        group = home_groups.home_group(request.claim_key, configuration)
         status = await self._claim_filter.refuse(request, group)
         if status.state is claim_records.ClaimState.NOT_RUN:
             raise error
@@ -156,7 +156,7 @@
         configuration: models.Configuration,
     ) -> messages.Answer:
         policy = configuration.requests
-        group = home.home_group(request.claim_key, configuration)
+        group = home_groups.home_group(request.claim_key, configuration)
         try:
             permit = await self._admission.acquire(request)
         except errors.LaburnumsillError as error:
@@ -171,7 +171,7 @@
             grant = _GrantedClaim(request, status.attempt, group, policy)
             exchange = await self._dispatch(grant)
             result = await self._read_answer(grant, exchange, permit)
-            permit_transferred = result.whole_body is None
+            permit_transferred = result.complete_body is None
             return result
         finally:
             if not permit_transferred:
@@ -221,7 +221,7 @@
             b"".join(parts),
         )
         await self._settle(grant, claim_records.ClaimState.ANSWERED, answer)
-        return answers.stored(answer)
+        return answers.from_stored_answer(answer)
 
     def _stream(
         self,
@@ -278,7 +278,7 @@
         outcome: claim_records.ClaimState,
         answer: stored_answers.StoredAnswer | None,
     ) -> claim_records.SettleRequest:
-        return settle.settlement(
+        return settle.settle_command(
             grant.request,
             grant.attempt,
             outcome,
--- a/laburnumsill/requests/claim.py
+++ b/laburnumsill/requests/claim.py
@@ -73,7 +73,7 @@
             request.digest,
             attempt,
             self._local_vm.vm_id,
-            self._clock.wall_deadline(request.arrived),
+            self._clock.wall_deadline(request.arrived_at),
             self._clock.wall(),
             attempt_deadline,
             attempt_deadline + retention_s,
@@ -81,7 +81,7 @@
         propose_deadline = min(
             request.deadline,
             self._clock.monotonic() + CLAIM_TIMEOUT_S,
-            request.arrived + claim_records.CLAIM_WINDOW_S,
+            request.arrived_at + claim_records.MAX_CLAIM_AGE_S,
         )
         granted = False
         maybe_committed = False
@@ -106,7 +106,7 @@
         finally:
             if maybe_committed and not granted:
                 self._settler.record_later(
-                    group, settle.not_run(command, self._clock.wall())
+                    group, settle.not_run_command(command, self._clock.wall())
                 )
 
     async def refuse(
@@ -124,7 +124,7 @@
             request.claim_key, request.digest, self._clock.wall()
         )
         propose_deadline = (
-            self._clock.monotonic() + claim_records.REFUSE_PATIENCE_S
+            self._clock.monotonic() + claim_records.REFUSE_TIMEOUT_S
         )
         try:
             status: claim_records.ClaimStatus = await self._groups.propose(
@@ -133,7 +133,9 @@
         except (errors.UnavailableError, errors.ProposalLostError) as error:
             raise _unreachable(error) from error
         if self._clock.monotonic() > propose_deadline:
-            raise messages.HomeUnreachableError("the home group was too slow")
+            raise messages.HomeUnreachableError(
+                "the home group did not answer in time"
+            )
         return status
 
     async def _propose(
--- a/laburnumsill/requests/classify.py
+++ b/laburnumsill/requests/classify.py
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Classified:
+class ClassifiedHead:
     """A request's head, validated against the configuration.
 
     See `messages.RoutedRequest` for the attributes.
@@ -51,14 +51,14 @@
             self.head.target,
             header_names.end_to_end(self.head.headers),
             body,
-            self.head.arrived,
+            self.head.arrived_at,
             self.deadline,
         )
 
 
 def classify(
     head: messages.RequestHead, configuration: models.Configuration
-) -> Classified:
+) -> ClassifiedHead:
     """Validates the head of a request against the configuration.
 
     Raises:
@@ -78,7 +78,7 @@
         raise errors.MissingKeyError(
             f"class {class_name!r} needs an Idempotency-Key"
         )
-    return Classified(
+    return ClassifiedHead(
         head,
         service,
         class_name,
@@ -87,7 +87,7 @@
         weight,
         max_in_flight,
         key,
-        head.arrived + _timeout_ms(head, request_class) / 1000,
+        head.arrived_at + _timeout_ms(head, request_class) / 1000,
     )
 
 
@@ -136,9 +136,9 @@
     digits = text.removeprefix("-")
     if not (digits.isascii() and digits.isdigit() and len(digits) <= 12):
         raise errors.InvalidInputError(
-            f"Laburnumsill-Timeout-Ms is no whole number: {text[:40]!r}"
+            f"Laburnumsill-Timeout-Ms is not an integer: {text[:40]!r}"
         )
     timeout_ms = int(text)
     if timeout_ms <= 0:
-        raise errors.DeadlinePassedError(f"{timeout_ms} ms are left")
+        raise errors.DeadlinePassedError(f"{timeout_ms} ms remain")
     return min(timeout_ms, MAX_TIMEOUT_MS)
--- a/laburnumsill/requests/dispatch.py
+++ b/laburnumsill/requests/dispatch.py
@@ -14,10 +14,10 @@
 from laburnumsill.core import logs
 from laburnumsill.core import metrics as metrics_module
 from laburnumsill.core import topology
-from laburnumsill.requests import budget
-from laburnumsill.requests import health as health_module
 from laburnumsill.requests import messages
+from laburnumsill.requests import outlier_ejection
 from laburnumsill.requests import policies as policies_module
+from laburnumsill.requests import retry_budget
 from laburnumsill.requests import servers
 
 MIN_SERVER_ERROR_STATUS = 500
@@ -84,14 +84,14 @@
     """The attempts made for one request.
 
     Attributes:
-        servers: Ids of the servers that were attempted.
+        server_ids: Ids of the attempted servers.
         count: Number of attempts.
         sent: Whether a byte of any attempt may have reached a server.
     """
 
     def __init__(self, max_attempts: int) -> None:
         self._max_attempts = max_attempts
-        self.servers: set[str] = set()
+        self.server_ids: set[str] = set()
         self.count = 0
         self.sent = False
 
@@ -102,7 +102,7 @@
 
     def record(self, state: servers.ServerState) -> None:
         """Records an attempt at a server."""
-        self.servers.add(state.server.server_id)
+        self.server_ids.add(state.server.server_id)
         self.count += 1
 
     def overall_error(
@@ -123,7 +123,10 @@
 def _is_retryable(
     error: errors.LaburnumsillError, attempt_id: str | None
 ) -> bool:
-    """Returns whether a request may be retried after `error`."""
+    """Returns whether a request may be retried after `error`.
+
+    Claimed attempts are retried only if nothing was sent.
+    """
     if isinstance(error, backend.NotSentError):
         return True
     return attempt_id is None and isinstance(error, errors.OutcomeUnknownError)
@@ -135,7 +138,7 @@
     Args:
         local_vm: This VM.
         table: The known servers.
-        health: Outlier ejection.
+        outlier_detector: Ejects failing servers.
         policies: The policies in force.
         client: HTTP client for backend servers.
         clock: The process's clock.
@@ -146,7 +149,7 @@
         self,
         local_vm: topology.Vm,
         table: servers.ServerTable,
-        health: health_module.OutlierDetector,
+        outlier_detector: outlier_ejection.OutlierDetector,
         policies: policies_module.Policies,
         client: backend.BackendClient,
         clock: clocks.Clock,
@@ -154,19 +157,21 @@
     ) -> None:
         self._local_vm = local_vm
         self._table = table
-        self._health = health
+        self._outlier_detector = outlier_detector
         self._policies = policies
         self._client = client
         self._clock = clock
         self._metrics = metrics
-        self._budget = budget.RetryBudget()
+        self._budget = retry_budget.RetryBudget()
 
     def capacity(self, service: str, share: float) -> float:
         """Returns this VM's concurrency limit, see `admit.Capacity`."""
         limiter = self._policies.limiter
         now = self._clock.monotonic()
         states = self._table.servers_of(service)
-        usable = self._health.usable_servers(states, now, repeatable=True)
+        usable = self._outlier_detector.usable_servers(
+            states, now, repeatable=True
+        )
         return sum(limiter.limit(state, share) for state in usable)
 
     async def run(
@@ -213,14 +218,16 @@
         """Records the result of an attempt; `failure` is None on success."""
         state.in_flight -= 1
         if failure is None:
-            self._health.record_success(state)
+            self._outlier_detector.record_success(state)
         else:
-            self._health.record_failure(state, self._clock.monotonic(), failure)
+            self._outlier_detector.record_failure(
+                state, self._clock.monotonic(), failure
+            )
 
     def abandon_attempt(self, state: servers.ServerState) -> None:
         """Records an attempt that is no evidence of the server's health."""
         state.in_flight -= 1
-        self._health.record_cancellation(state)
+        self._outlier_detector.record_cancellation(state)
 
     def _classify_failure(
         self,
@@ -290,7 +297,7 @@
         attempt_id: str | None,
     ) -> Exchange:
         state.in_flight += 1
-        self._health.record_send(state)
+        self._outlier_detector.record_send(state)
         started = self._clock.monotonic()
         outgoing = backend.BackendRequest(
             attempt_id or ids.fresh("att"),
@@ -329,10 +336,10 @@
     def _choose(
         self, request: messages.RoutedRequest, attempts: "_Attempts"
     ) -> servers.ServerState:
-        usable = self._usable_servers(request, attempts.servers)
+        usable = self._usable_servers(request, attempts.server_ids)
         if not usable:
             raise errors.NoServerError(
-                f"no backend server of {request.service!r} can take requests"
+                f"no backend server of {request.service!r} accepts requests"
             )
         candidates, reason = self._candidates(
             request, usable, attempts.count + 1
@@ -387,14 +394,14 @@
         return _least_over_limit(usable), "all-full"
 
     def _usable_servers(
-        self, request: messages.RoutedRequest, tried: abc.Set[str]
+        self, request: messages.RoutedRequest, attempted_ids: abc.Set[str]
     ) -> list[servers.ServerState]:
-        usable = self._health.usable_servers(
+        usable = self._outlier_detector.usable_servers(
             self._table.servers_of(request.service),
             self._clock.monotonic(),
             repeatable=request.request_class.repeatable,
         )
-        return [s for s in usable if s.server.server_id not in tried]
+        return [s for s in usable if s.server.server_id not in attempted_ids]
 
 
 def _least_over_limit(
