--- a/laburnumsill/consensus/engine.py
+++ b/laburnumsill/consensus/engine.py
@@ -99,16 +99,17 @@
     def bootstrap(
         group: str, replica_id: types.ReplicaId, membership: types.Membership
     ) -> tuple[types.HardState, types.Entry]:
-        """Returns the hard state and first entry of the founder of a group.
+        """Returns the hard state and first entry for the bootstrap of a group.
 
-        The founder stores both before its engine starts.
+        The replica that bootstraps the group stores both before its engine
+        starts.
 
         Raises:
             InvalidMembershipError: The replica is not a voter in `membership`.
         """
         if replica_id not in membership.voters:
             raise InvalidMembershipError(
-                f"founder {replica_id!r} of group {group} is not a voter in"
+                f"replica {replica_id!r} of group {group} is not a voter in"
                 f" {membership.voters!r}"
             )
         entry = types.Entry(
--- a/laburnumsill/consensus/follower_state.py
+++ b/laburnumsill/consensus/follower_state.py
@@ -70,8 +70,8 @@
         replica = self._replica
         skipped = replica.committed - message.index
         for entry in message.entries[:skipped]:
-            known_term = replica.log.term_at(entry.index)
-            if known_term not in (None, entry.term):
+            own_term = replica.log.term_at(entry.index)
+            if own_term not in (None, entry.term):
                 replica.truncate_from(entry.index)
         return types.Message(
             message.kind,
@@ -87,10 +87,10 @@
     def _append_new(self, entries: tuple[types.Entry, ...]) -> None:
         log = self._replica.log
         for entry in entries:
-            known_term = log.term_at(entry.index)
-            if known_term == entry.term:
+            own_term = log.term_at(entry.index)
+            if own_term == entry.term:
                 continue
-            if known_term is not None:
+            if own_term is not None:
                 self._replica.truncate_from(entry.index)
             self._replica.append(entry)
 
--- a/laburnumsill/consensus/group_leadership.py
+++ b/laburnumsill/consensus/group_leadership.py
@@ -7,7 +7,7 @@
 
 
 class LeadershipState:
-    """Whether one replica leads, and in which term; logs the changes.
+    """The leadership of one replica, or none, and its term; logs the changes.
 
     Args:
         group: The name of the group.
--- a/laburnumsill/consensus/host.py
+++ b/laburnumsill/consensus/host.py
@@ -457,8 +457,8 @@
 
     async def _discover(self, hosted: groups.HostedGroup) -> None:
         try:
-            unwanted = await self._membership_manager.discover(hosted)
-            if unwanted:
+            must_retire = await self._membership_manager.discover(hosted)
+            if must_retire:
                 await self._replicas.retire(hosted.name)
             else:
                 self._replicas.schedule(hosted.name)
--- a/laburnumsill/consensus/leader_forwarder.py
+++ b/laburnumsill/consensus/leader_forwarder.py
@@ -41,7 +41,7 @@
 CONFIRMATION_QUERY = codec.encode(replication.Confirmation())
 """Query that only a leader with a confirmed leadership answers."""
 
-LocalAttempt = abc.Callable[[float], abc.Awaitable[forwarded.Outcome]]
+LocalCall = abc.Callable[[float], abc.Awaitable[forwarded.Outcome]]
 """Executes a request on the local replica, up to a monotonic deadline."""
 
 
@@ -59,7 +59,7 @@
 
     group: str
     message: object
-    run_locally: LocalAttempt
+    run_locally: LocalCall
     deadline: float
     read_only: bool = False
 
--- a/laburnumsill/consensus/membership_change.py
+++ b/laburnumsill/consensus/membership_change.py
@@ -69,9 +69,9 @@
         return None
     return (
         _add_learner(view)
-        or _drop_learner(view)
-        or _remove(view)
-        or _promote(view)
+        or _remove_learners(view)
+        or _remove_voter(view)
+        or _promote_learner(view)
     )
 
 
@@ -91,7 +91,7 @@
     return None
 
 
-def _drop_learner(view: MembershipView) -> types.Membership | None:
+def _remove_learners(view: MembershipView) -> types.Membership | None:
     """Removes the learners that are not desired."""
     remaining = tuple(
         learner
@@ -104,7 +104,7 @@
     return _with_members(view, view.membership.voters, remaining)
 
 
-def _promote(view: MembershipView) -> types.Membership | None:
+def _promote_learner(view: MembershipView) -> types.Membership | None:
     """Promotes a caught-up learner.
 
     If a former incarnation on its VM still votes, that one is removed instead.
@@ -128,7 +128,7 @@
     return None
 
 
-def _remove(view: MembershipView) -> types.Membership | None:
+def _remove_voter(view: MembershipView) -> types.Membership | None:
     """Removes an undesired voter after its replacement has been promoted.
 
     This comes before the next promotion, so that there is never more than one
@@ -172,8 +172,8 @@
     removed, because the membership records disks by VM.
     """
     voting = {voter.vm for voter in voters}
-    counted = voters + tuple(one for one in learners if one.vm not in voting)
-    disks = frozenset(one.vm for one in counted if _has_disk(view, one))
+    counted = voters + tuple(v for v in learners if v.vm not in voting)
+    disks = frozenset(v.vm for v in counted if _has_disk(view, v))
     return types.Membership(voters, learners, disks)
 
 
--- a/laburnumsill/consensus/store_replay.py
+++ b/laburnumsill/consensus/store_replay.py
@@ -118,10 +118,10 @@
 
     def _read_snapshot(self) -> int:
         """Reads the snapshot; returns the first segment number to replay."""
-        read = snapshots.read(self._folder)
-        if read is None:
+        stored = snapshots.read(self._folder)
+        if stored is None:
             return 1
-        header, snapshot = read
+        header, snapshot = stored
         self._check_owner(header.group, header.incarnation, self._folder)
         self._result.snapshot = snapshot
         return header.log_from
@@ -147,11 +147,11 @@
         self, group: str, incarnation: str, path: pathlib.Path
     ) -> None:
         """Checks that a file belongs to this group and one incarnation."""
-        known = self._result.incarnation or incarnation
-        if group != self._group or incarnation != known:
+        expected = self._result.incarnation or incarnation
+        if group != self._group or incarnation != expected:
             raise store.DamagedLogError(
                 f"{path}: belongs to {group!r} {incarnation!r},"
-                f" expected {self._group!r} {known!r}"
+                f" expected {self._group!r} {expected!r}"
             )
         self._result.incarnation = incarnation
 
--- a/laburnumsill/consensus/tests/host_cluster.py
+++ b/laburnumsill/consensus/tests/host_cluster.py
@@ -78,13 +78,13 @@
 
 
 def _leaves(group: BaseExceptionGroup) -> list[Exception]:
-    found = []
+    leaves = []
     for error in group.exceptions:
         if isinstance(error, BaseExceptionGroup):
-            found += _leaves(error)
+            leaves += _leaves(error)
         else:
-            found.append(error)
-    return found
+            leaves.append(error)
+    return leaves
 
 
 def skip_syncs(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -146,8 +146,8 @@
         return self.status(group).incarnation
 
     def status(self, group: str = ROOT) -> host.GroupStatus:
-        found = {one.group: one for one in self.host.status()}
-        return found[group]
+        statuses = {status.group: status for status in self.host.status()}
+        return statuses[group]
 
     def component(self, group: str = ROOT) -> Keys:
         return self.host.local_state_machine(group).component("keys")
@@ -224,19 +224,19 @@
 
         def converged() -> bool:
             running = [n for n in self.nodes if not n.stopped.is_set()]
-            found = [
-                one
+            statuses = [
+                status
                 for node in running
-                for one in node.host.status()
-                if one.group == group
+                for status in node.host.status()
+                if status.group == group
             ]
-            return len({one.leader for one in found}) == 1 and all(
-                one.leader
-                and not one.learners
-                and one.role != "learner"
-                and len(one.voters) == 3
-                and one.applied == found[0].applied
-                for one in found
+            return len({status.leader for status in statuses}) == 1 and all(
+                status.leader
+                and not status.learners
+                and status.role != "learner"
+                and len(status.voters) == 3
+                and status.applied == statuses[0].applied
+                for status in statuses
             )
 
         await self.wait_until(converged)
--- a/laburnumsill/consensus/tests/simulated_group.py
+++ b/laburnumsill/consensus/tests/simulated_group.py
@@ -54,7 +54,9 @@
             list(self.stored.entries),
         )
         records = [output.hard_state, output.snapshot, *output.entries]
-        for record in [one for one in records if one is not None][:kept]:
+        for record in [record for record in records if record is not None][
+            :kept
+        ]:
             if isinstance(record, types.HardState):
                 hard_state = record
             elif isinstance(record, types.Snapshot):
@@ -263,11 +265,11 @@
     def __init__(
         self, vms: str, disks: str, seed: int, counted: str | None = None
     ) -> None:
-        """Founds a group.
+        """Bootstraps a group.
 
         Args:
-            vms: Names of the VMs, one letter each; the first one is the
-                founder.
+            vms: Names of the VMs, one letter each; the first one
+                bootstraps the group.
             disks: VMs that have a disk.
             seed: Seed of all random choices.
             counted: VMs in `with_disk` of the first membership; by default all
@@ -290,16 +292,16 @@
         self._incarnations = 0
         for vm in vms:
             self.add(vm)
-        founder = self.hosts[vms[0]]
+        first = self.hosts[vms[0]]
         voters = tuple(self.hosts[vm].replica_id for vm in vms)
-        marked = self.disks if counted is None else frozenset(counted)
-        founding = types.Membership(voters, (), marked & set(vms))
+        with_disk = self.disks if counted is None else frozenset(counted)
+        membership = types.Membership(voters, (), with_disk & set(vms))
         hard_state, entry = engine.Engine.bootstrap(
-            "g", founder.replica_id, founding
+            "g", first.replica_id, membership
         )
         output = types.Output(hard_state=hard_state, entries=(entry,))
-        founder.disk.write(output)
-        founder.boot()
+        first.disk.write(output)
+        first.boot()
 
     def add(self, vm: str) -> Host:
         """Starts an empty replica on `vm` under a new incarnation."""
@@ -350,7 +352,7 @@
             assert self.now < deadline, "the condition did not hold in time"
             self.run(0.05)
 
-    def until_read(self, seconds: float = 20.0) -> None:
+    def run_until_read(self, seconds: float = 20.0) -> None:
         """Runs until a leader has answered a read begun after this call."""
         reads: list[Operation | None] = []
 
--- a/laburnumsill/consensus/tests/test_disk_and_power_loss.py
+++ b/laburnumsill/consensus/tests/test_disk_and_power_loss.py
@@ -54,7 +54,7 @@
     ("vms", "counted"), [("abc", "a"), ("abcde", "a"), ("abcde", "ab")]
 )
 @pytest.mark.parametrize("seed", range(4))
-def test_a_majority_of_disks_goes_on_when_the_membership_lacks_disk_marks(
+def test_a_majority_of_disks_goes_on_when_with_disk_is_incomplete(
     vms, counted, seed
 ):
     """The membership's `with_disk` names only `counted` of the VMs with disks.
@@ -71,7 +71,7 @@
             group.add(vm)
         else:
             group.hosts[vm].crash(0, group.random.uniform(0.1, 0.6))
-    group.until_read()
+    group.run_until_read()
 
 
 def _has_no_leader(group):
--- a/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
+++ b/laburnumsill/consensus/tests/test_disks_lost_while_voters_change.py
@@ -120,7 +120,7 @@
         """Checks that acknowledged writes can be read, and a write succeeds."""
         group = self.group
         group.load = 0.0
-        group.until_read(SERVICE_TIMEOUT_S)
+        group.run_until_read(SERVICE_TIMEOUT_S)
         operation = group.write(group.elect(), b"last")
         group.run_until(lambda: operation.done)
 
--- a/laburnumsill/consensus/tests/test_engine_machine.py
+++ b/laburnumsill/consensus/tests/test_engine_machine.py
@@ -50,7 +50,7 @@
     steps = 0
 
     @stateful.initialize(seed=strategies.integers(0, 2**16))
-    def found(self, seed):
+    def bootstrap(self, seed):
         self.group = simulated_group.Group(self.vms, self.disks, seed)
         self.group.add(self.spare)
         self.group.load = 0.3
@@ -114,8 +114,8 @@
     )
     def fill_disks(self, number, count, full, turns):
         until = self.group.now + full * 0.05
-        for place in range(count):
-            host = self.host(number + place)
+        for offset in range(count):
+            host = self.host(number + offset)
             if host.replica_id.vm in self.disks:
                 host.full_until = until
         self.advance(turns)
@@ -202,10 +202,12 @@
         live = {one.replica_id for one in self.group.hosts.values()} - {
             host.replica_id
         }
-        for known in self.memberships():
-            lost = sum(one not in live for one in known.voters)
-            disks = [x for x in known.voters if x.vm in known.with_disk]
-            if lost > (len(known.voters) - 1) // 2:
+        for membership in self.memberships():
+            lost = sum(one not in live for one in membership.voters)
+            disks = [
+                x for x in membership.voters if x.vm in membership.with_disk
+            ]
+            if lost > (len(membership.voters) - 1) // 2:
                 return
             if disks and not any(one in live for one in disks):
                 return
--- a/laburnumsill/consensus/tests/test_host_rules.py
+++ b/laburnumsill/consensus/tests/test_host_rules.py
@@ -96,8 +96,8 @@
 
     def run(self) -> types.Membership:
         for step in range(40):
-            known = {*self.current.voters, *self.current.learners}
-            reachable = frozenset(known & set(self.running.values()))
+            members = {*self.current.voters, *self.current.learners}
+            reachable = frozenset(members & set(self.running.values()))
             view = membership_change.MembershipView(
                 self.current,
                 self.desired,
--- a/laburnumsill/consensus/voter_choice.py
+++ b/laburnumsill/consensus/voter_choice.py
@@ -70,22 +70,26 @@
             >>> VoterChoice(3).desired_learners(view)
             ('d',)
         """
-        silent = sum(_silent(vm, view, PREPARE_AFTER_S) for vm in view.voters)
+        silent = sum(
+            _is_silent(vm, view, PREPARE_AFTER_S) for vm in view.voters
+        )
         tolerated = (self._voter_count - 1) // 2
         learning = min(tolerated, len(view.learners))
         return tuple(_spares(view)[: max(silent, learning)])
 
     def desired_voters(self, view: VoterView) -> tuple[str, ...]:
         """Returns the VMs that are to be voters."""
-        kept = [vm for vm in view.voters if not _silent(vm, view)]
-        lost = [vm for vm in view.voters if vm not in kept]
+        kept = [vm for vm in view.voters if not _is_silent(vm, view)]
+        silent = [vm for vm in view.voters if vm not in kept]
         spares = _spares(view)
         chosen = kept + spares[: max(0, self._voter_count - len(kept))]
-        chosen += lost[: max(0, self._voter_count - len(chosen))]
+        chosen += silent[: max(0, self._voter_count - len(chosen))]
         return tuple(chosen)
 
 
-def _silent(vm: str, view: VoterView, after_s: float = REPLACE_AFTER_S) -> bool:
+def _is_silent(
+    vm: str, view: VoterView, after_s: float = REPLACE_AFTER_S
+) -> bool:
     """Returns whether a VM has sent nothing recently, in any incarnation."""
     last_message_at = max(
         view.last_contact_at.get(vm, view.now),
@@ -99,7 +103,7 @@
     learning = [
         vm
         for vm in view.learners
-        if vm not in view.voters and not _silent(vm, view)
+        if vm not in view.voters and not _is_silent(vm, view)
     ]
     joining = [
         vm
