--- a/laburnumsill/emulator/days.py
+++ b/laburnumsill/emulator/days.py
@@ -1,4 +1,8 @@
-"""Days of an emulated site: jobs like the users', and what they earned."""
+"""Emulated days of a site with jobs like the users', and their credit.
+
+A job earns credit that depends on whether it met its objective, see
+`load.credit`.
+"""
 
 import dataclasses
 import random
@@ -16,12 +20,12 @@
 from laburnumsill.emulator import workers as worker_module
 
 DAY_S = 40.0
-"""Jobs are handed in for so long."""
+"""Time during which jobs arrive."""
 
 SETTLE_S = 40.0
-"""So much longer a day may take, until all jobs have ended."""
+"""Longest wait for the jobs to end after the last arrival."""
 
-LOOK_EVERY_S = 0.05
+POLL_INTERVAL_S = 0.05
 
 SHAPES = {
     "tana-shore": loads.TANA_SHORE,
@@ -29,19 +33,19 @@
     "further": loads.FURTHER,
     "wide": loads.WIDE,
 }
-"""The shapes of known sites."""
+"""The known sites by name."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Day:
-    """What to play.
+    """The parameters of an emulated day.
 
     Attributes:
         shape: The site.
-        seed: Of everything that is random.
-        load: Multiple of the usual rates of jobs.
-        kinds: The troubles that may come, see `troubles.KINDS`.
-        policy: Which mechanisms of the planner are in use.
+        seed: Seed of all random decisions.
+        load: Multiple of the usual arrival rates.
+        kinds: The faults to inject, names from `troubles.KINDS`.
+        policy: The enabled mechanisms of the planner.
     """
 
     shape: loads.Shape
@@ -53,18 +57,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Result:
-    """What became of a day.
+    """The result of an emulated day.
 
     Attributes:
-        owed: Worth of the jobs that came, by kind.
-        earned: Worth of those that were in time, less of late ones.
-        wasted_share: Core-seconds thrown away, relative to the useful ones.
-        urgent_ratio: Mean time of urgent jobs relative to their work.
-        states: How many jobs ended in each state.
-        broken: What must always hold and did not, one line each.
+        offered: Credit if all jobs had met their objectives, by kind of job.
+        earned: Credit earned, by kind of job.
+        wasted_share: Lost core-seconds relative to the useful ones.
+        urgent_ratio: Mean duration of urgent jobs relative to their work.
+        states: Number of jobs by their last shown state.
+        broken: Violated invariants, one line each, see `oracle`.
     """
 
-    owed: dict[str, float]
+    offered: dict[str, float]
     earned: dict[str, float]
     wasted_share: float
     urgent_ratio: float
@@ -73,21 +77,21 @@
 
 
 def run(day: Day) -> Result:
-    """Plays a day in virtual time."""
-    return virtual_time.run(day.seed, _play, day)
+    """Runs a day in virtual time."""
+    return virtual_time.run(day.seed, _run_day, day)
 
 
-async def _play(day: Day) -> Result:
-    source = random.Random(day.seed)
+async def _run_day(day: Day) -> Result:
+    rng = random.Random(day.seed)
     shape = day.shape
-    jobs = loads.arrivals(shape, source, DAY_S, day.load)
+    jobs = loads.arrivals(shape, rng, DAY_S, day.load)
     site = sites.EmulatedSite(
         day.seed,
         shape.racks,
         shape.per_rack,
         shape.capacity,
         shape.stop_grace_s,
-        worker_module.Saving(shape.checkpoint_s, shape.restore_s),
+        worker_module.Checkpointing(shape.checkpoint_s, shape.restore_s),
         day.policy,
     )
     async with trio.open_nursery() as nursery:
@@ -96,56 +100,58 @@
             if number % 3 == 2:
                 worker.behaviour.speed = 1 / shape.slow_workers
         site.guarantees = dict.fromkeys(loads.ACCOUNTS, shape.guaranteed)
-        async with trio.open_nursery() as handing_in:
-            for one in jobs:
-                handing_in.start_soon(_hand_in, site, one)
+        async with trio.open_nursery() as submissions:
+            for arrival in jobs:
+                submissions.start_soon(_submit, site, arrival)
             if day.kinds:
-                handing_in.start_soon(
-                    troubles.bring, site, source, day.kinds, DAY_S
+                submissions.start_soon(
+                    troubles.inject, site, rng, day.kinds, DAY_S
                 )
         with trio.move_on_after(SETTLE_S):
             while site.ledger.active_jobs:
-                await trio.sleep(LOOK_EVERY_S)
+                await trio.sleep(POLL_INTERVAL_S)
                 site.look()
         site.look()
         nursery.cancel_scope.cancel()
     return _result(site, jobs)
 
 
-async def _hand_in(site: sites.EmulatedSite, one: loads.Arrival) -> None:
-    """Hands a job in, and cancels it if it is to be."""
-    await trio.sleep(one.at_s)
-    await site.submit(one.job, list(one.work_s), uneven=one.kind.uneven)
-    if one.cancel_after_s is not None:
-        await trio.sleep(one.cancel_after_s)
-        await site.cancel(one.job.job_id)
+async def _submit(site: sites.EmulatedSite, arrival: loads.Arrival) -> None:
+    """Submits a job at its arrival, and cancels it if it is to be cancelled."""
+    await trio.sleep(arrival.at_s)
+    await site.submit(
+        arrival.job, list(arrival.work_s), task_spread=arrival.kind.task_spread
+    )
+    if arrival.cancel_after_s is not None:
+        await trio.sleep(arrival.cancel_after_s)
+        await site.cancel(arrival.job.job_id)
 
 
 def _result(
     site: sites.EmulatedSite, jobs: abc.Sequence[loads.Arrival]
 ) -> Result:
-    """Adds up what the jobs of a day earned."""
-    owed: dict[str, float] = {}
+    """Returns the result of a day; its credit excludes jobs to be cancelled."""
+    offered: dict[str, float] = {}
     earned: dict[str, float] = {}
     ratios = []
-    wanted = [one for one in jobs if one.cancel_after_s is None]
+    counted = [arrival for arrival in jobs if arrival.cancel_after_s is None]
     means = loads.mean_core_s(jobs)
-    for one in wanted:
-        name = one.kind.name
-        ended = _ended_at(site, one)
-        took = None if ended is None else ended - one.at_s
-        full = loads.credit(one, means[name], 0.0)
-        owed[name] = owed.get(name, 0) + full
-        got = loads.credit(one, means[name], took)
-        earned[name] = earned.get(name, 0) + got
-        if name == loads.URGENT and took is not None:
-            ratios.append(took / sum(one.work_s))
-    useful = sum(one.core_s for one in wanted)
+    for arrival in counted:
+        name = arrival.kind.name
+        ended_at = _ended_at(site, arrival)
+        duration_s = None if ended_at is None else ended_at - arrival.at_s
+        max_credit = loads.credit(arrival, means[name], 0.0)
+        offered[name] = offered.get(name, 0) + max_credit
+        earned_credit = loads.credit(arrival, means[name], duration_s)
+        earned[name] = earned.get(name, 0) + earned_credit
+        if name == loads.URGENT and duration_s is not None:
+            ratios.append(duration_s / sum(arrival.work_s))
+    useful = sum(arrival.core_s for arrival in counted)
     states: dict[str, int] = {}
     for outcome in site.outcomes.values():
         states[outcome.state] = states.get(outcome.state, 0) + 1
     return Result(
-        owed,
+        offered,
         earned,
         site.pool.lost_core_s / useful if useful else 0.0,
         statistics.mean(ratios) if ratios else 0.0,
@@ -154,9 +160,9 @@
     )
 
 
-def _ended_at(site: sites.EmulatedSite, one: loads.Arrival) -> float | None:
-    """Returns when a job was completed, on the loop's clock."""
-    record = site.ledger.jobs.get(one.job.job_id)
+def _ended_at(site: sites.EmulatedSite, arrival: loads.Arrival) -> float | None:
+    """Returns the time of completion of a job on the loop's clock, or None."""
+    record = site.ledger.jobs.get(arrival.job.job_id)
     if record is None or record.state is not caller_commands.JobState.COMPLETED:
         return None
     return record.ended_ms / 1000 - sites.EPOCH
@@ -164,14 +170,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """Some days of one site at one load, added up.
+    """The results of several days of one site at one load, combined.
 
     Attributes:
-        earned: Share of all worth that was earned.
-        by_kind: The same by kind of job.
+        earned: Credit earned, relative to the credit offered.
+        by_kind: `earned` by kind of job.
         wasted: Mean of the days' `wasted_share`.
         urgent_ratio: Mean of the days' `urgent_ratio`.
-        broken: All broken rules, with the seeds of their days.
+        broken: All violated invariants, with the seeds of their days.
     """
 
     earned: float
@@ -182,19 +188,19 @@
 
 
 def summary(results: abc.Mapping[int, Result]) -> Summary:
-    """Adds up results by the seeds of their days."""
-    owed: dict[str, float] = {}
+    """Combines results, given by the seeds of their days."""
+    offered: dict[str, float] = {}
     earned: dict[str, float] = {}
     for result in results.values():
-        for kind, worth in result.owed.items():
-            owed[kind] = owed.get(kind, 0) + worth
+        for kind, worth in result.offered.items():
+            offered[kind] = offered.get(kind, 0) + worth
             earned[kind] = earned.get(kind, 0) + result.earned[kind]
-    total = sum(owed.values())
+    total = sum(offered.values())
     return Summary(
         sum(earned.values()) / total if total else 0.0,
-        {kind: earned[kind] / owed[kind] for kind in sorted(owed)},
-        statistics.mean(one.wasted_share for one in results.values()),
-        statistics.mean(one.urgent_ratio for one in results.values()),
+        {kind: earned[kind] / offered[kind] for kind in sorted(offered)},
+        statistics.mean(result.wasted_share for result in results.values()),
+        statistics.mean(result.urgent_ratio for result in results.values()),
         [
             f"seed {seed}: {line}"
             for seed, result in results.items()
--- a/laburnumsill/emulator/leadership.py
+++ b/laburnumsill/emulator/leadership.py
@@ -1,4 +1,4 @@
-"""Who leads an emulated site, as it is and as each VM believes."""
+"""Leadership of an emulated site: the actual leader and each VM's view."""
 
 import dataclasses
 import typing
@@ -12,72 +12,84 @@
 from laburnumsill.core import replication
 
 COMMIT_S = 0.009
-"""A commit takes two trips of half a millisecond and one sync of 6 ms."""
+"""Two one-way trips of half a millisecond and an fsync of 6 ms."""
 
-BELIEF_S = 0.2
-"""A VM that wakes notices so late that another one leads by now."""
+STALE_VIEW_S = 0.2
+"""Time from the resumption of a suspended VM until its view is current."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Belief:
+class _StaleView:
+    """The leadership as a suspended VM last saw it.
+
+    Attributes:
+        leader: The leader at the time of the suspension.
+        term: The term at that time.
+        resumed: Set when the VM resumes.
+    """
+
     leader: str
     term: int
-    awake: trio.Event
+    resumed: trio.Event
 
 
 class Leadership:
-    """Who leads the one state machine.
+    """The leadership of the group of the site, shared by all VMs.
 
     Attributes:
-        machine: The state machine.
-        leader: The VM that leads, or "".
-        current_term: Rises with each change.
+        machine: The state machine; all VMs share it.
+        leader: The VM that leads, or "" if none does.
+        current_term: The term; it increases with each call of `lead`.
     """
 
     def __init__(self, machine: replication.StateMachine) -> None:
         self.machine = machine
         self.leader = ""
         self.current_term = 0
-        self._asleep: dict[str, _Belief] = {}
+        self._suspended: dict[str, _StaleView] = {}
 
     def lead(self, vm: str) -> None:
-        """Has a VM lead from now on, "" for none."""
+        """Makes a VM the leader, or none if it is ""."""
         self.leader = vm
         self.current_term += 1
 
-    def sleeps(self, vm: str) -> bool:
+    def is_suspended(self, vm: str) -> bool:
         """Returns whether a VM is suspended."""
-        belief = self._asleep.get(vm)
-        return belief is not None and not belief.awake.is_set()
+        view = self._suspended.get(vm)
+        return view is not None and not view.resumed.is_set()
 
     async def suspend(self, vm: str, seconds: float) -> None:
-        """Suspends a VM; it wakes with what it believed before."""
-        belief = _Belief(self.leader, self.current_term, trio.Event())
-        self._asleep[vm] = belief
+        """Suspends a VM.
+
+        It resumes with its view from before the suspension, which becomes
+        current `STALE_VIEW_S` later.
+        """
+        view = _StaleView(self.leader, self.current_term, trio.Event())
+        self._suspended[vm] = view
         await trio.sleep(seconds)
-        belief.awake.set()
-        await trio.sleep(BELIEF_S)
-        del self._asleep[vm]
+        view.resumed.set()
+        await trio.sleep(STALE_VIEW_S)
+        del self._suspended[vm]
 
-    async def until_awake(self, vm: str) -> None:
-        """Waits while a VM is suspended."""
-        belief = self._asleep.get(vm)
-        if belief is not None:
-            await belief.awake.wait()
+    async def wait_until_resumed(self, vm: str) -> None:
+        """Waits until a VM is not suspended."""
+        view = self._suspended.get(vm)
+        if view is not None:
+            await view.resumed.wait()
 
-    def believed_leader(self, vm: str) -> str:
-        """Returns who leads as far as a VM knows, "" for nobody."""
-        belief = self._asleep.get(vm)
-        return self.leader if belief is None else belief.leader
+    def leader_seen_by(self, vm: str) -> str:
+        """Returns the leader in the view of a VM, "" for none."""
+        view = self._suspended.get(vm)
+        return self.leader if view is None else view.leader
 
-    def believed_term(self, vm: str) -> int:
-        """Returns the term as far as a VM knows."""
-        belief = self._asleep.get(vm)
-        return self.current_term if belief is None else belief.term
+    def term_seen_by(self, vm: str) -> int:
+        """Returns the term in the view of a VM."""
+        view = self._suspended.get(vm)
+        return self.current_term if view is None else view.term
 
 
 class VmGroups(replication.LeaderGroups):
-    """The groups as one VM of the emulation sees them."""
+    """The replicated group as one VM of the site sees it."""
 
     def __init__(self, shared: Leadership, vm: str) -> None:
         self._shared = shared
@@ -86,36 +98,36 @@
     async def propose(
         self, group: str, command: object, deadline: float
     ) -> typing.Any:
-        """Commits a command if this VM leads then."""
+        """Commits a command if this VM leads in the same term throughout."""
         term = self._shared.current_term
         await trio.sleep(COMMIT_S)
-        await self._shared.until_awake(self._vm)
+        await self._shared.wait_until_resumed(self._vm)
         if self._shared.leader != self._vm or self._shared.current_term != term:
-            raise errors.ProposalLostError("the lead was lost")
-        result = self._shared.machine.apply(_coded(command))
-        return None if result is None else _coded(result)
+            raise errors.ProposalLostError("leadership was lost")
+        result = self._shared.machine.apply(_round_trip(command))
+        return None if result is None else _round_trip(result)
 
     async def query(
         self, group: str, query: object, deadline: float
     ) -> typing.Any:
-        """Answers a query if this VM leads."""
+        """Answers a query if this VM is the actual leader."""
         await trio.sleep(COMMIT_S / 4)
-        await self._shared.until_awake(self._vm)
+        await self._shared.wait_until_resumed(self._vm)
         if self._shared.leader != self._vm:
-            raise errors.NoQuorumError("does not lead")
-        return _coded(self._shared.machine.query(_coded(query)))
+            raise errors.NoQuorumError("this VM does not lead")
+        return _round_trip(self._shared.machine.query(_round_trip(query)))
 
     def leads(self, group: str) -> bool:
-        """Returns whether this VM leads, as far as it knows."""
-        return self._shared.believed_leader(self._vm) == self._vm
+        """Returns whether this VM leads in its own view."""
+        return self._shared.leader_seen_by(self._vm) == self._vm
 
     def term(self, group: str) -> int:
-        """Returns the term, as far as this VM knows."""
-        return self._shared.believed_term(self._vm)
+        """Returns the term in the view of this VM."""
+        return self._shared.term_seen_by(self._vm)
 
     def leader(self, group: str) -> str | None:
-        """Returns the VM that leads, as far as this one knows."""
-        return self._shared.believed_leader(self._vm) or None
+        """Returns the leader in the view of this VM."""
+        return self._shared.leader_seen_by(self._vm) or None
 
     def local(self, group: str) -> replication.StateMachine:
         """Returns the state machine."""
@@ -123,7 +135,7 @@
 
 
 class VmClient(worker_client.WorkerClient):
-    """Gives the orders of one VM; those it gives while suspended go later."""
+    """Sends the orders of one VM, delayed while the VM is suspended."""
 
     def __init__(
         self, shared: Leadership, vm: str, client: worker_client.WorkerClient
@@ -139,7 +151,7 @@
         deadline: float,
     ) -> worker_client.Answer:
         """Starts a run, see the base class."""
-        await self._shared.until_awake(self._vm)
+        await self._shared.wait_until_resumed(self._vm)
         return await self._client.start(worker, order, deadline)
 
     async def stop(
@@ -150,7 +162,7 @@
         deadline: float,
     ) -> worker_client.Answer:
         """Stops a run, see the base class."""
-        await self._shared.until_awake(self._vm)
+        await self._shared.wait_until_resumed(self._vm)
         return await self._client.stop(worker, run, fence, deadline)
 
     async def report(
@@ -160,9 +172,10 @@
         deadline: float,
     ) -> worker_client.Report:
         """Asks for a report, see the base class."""
-        await self._shared.until_awake(self._vm)
+        await self._shared.wait_until_resumed(self._vm)
         return await self._client.report(worker, order, deadline)
 
 
-def _coded(message: object) -> typing.Any:
+def _round_trip(message: object) -> typing.Any:
+    """Returns a copy of a message, encoded and decoded as on the wire."""
     return codec.decode(codec.encode(message))
--- a/laburnumsill/emulator/load.py
+++ b/laburnumsill/emulator/load.py
@@ -1,7 +1,7 @@
-"""Jobs like those of the two users, and what finishing them in time is worth.
+"""Jobs like those of the users, and the credit for completing them in time.
 
-The numbers are those of the users' own sheets: kinds of jobs with their
-rates, widths, run times and worth. Declared times are rough guesses.
+The rates, widths, run times and credits of the kinds of jobs are the users' own
+figures. The run times that jobs declare are rough estimates.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 """The client accounts of an emulated site."""
 
 URGENT = "urgent"
-"""The kind of jobs that someone waits for."""
+"""The kind of jobs for which a person waits."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -26,28 +26,30 @@
     """One kind of job.
 
     Attributes:
-        name: Also the name of its queue.
-        per_s: Jobs a second on a usual day.
-        terms: Of its queue.
+        name: Its name, which is also that of its queue.
+        per_s: Arrivals per second on a usual day.
+        terms: The terms of its queue.
         width: Mean number of tasks in a step.
-        width_spread: Sigma of its logarithm.
-        longest_width: Most tasks in a step.
+        width_spread: Sigma of the logarithm of the width.
+        max_width: Most tasks in a step.
         work_s: Mean run time of a task, in seconds.
-        work_spread: Sigma of its logarithm.
-        cpu_millis: What a task needs.
-        memory_mb: What a task needs.
-        accelerators: What a task needs; one is drawn.
-        gang: Whether its tasks are a gang.
-        one_rack_share: Share whose gang is slow on several racks.
-        saves_share: Share that saves progress.
-        data_rack_share: Share whose data are in one rack.
-        second_step_share: Share with a second step.
-        cancelled_share: Share that is cancelled after a while.
-        estimate_spread: Sigma of the logarithm of the guess.
-        uneven: Sigma of the logarithm of one task's work against another's.
-        there_first: Jobs that are handed in at the very start.
-        worth: For a job that is in time.
-        late_worth: For one within three times its objective.
+        work_spread: Sigma of the logarithm of the run time.
+        cpu_millis: CPU that a task needs.
+        memory_mb: Memory that a task needs.
+        accelerators: Numbers of accelerators that a task may need; one is
+            chosen at random for each step.
+        gang: Whether the tasks of a step are a gang.
+        one_rack_share: Share of steps whose gang is slow on several racks.
+        saves_share: Share of steps whose tasks save progress.
+        data_rack_share: Share of steps whose data are in one rack.
+        second_step_share: Share of jobs with a second step.
+        cancelled_share: Share of jobs that are cancelled.
+        estimate_spread: Sigma of the logarithm of the ratio of the declared
+            run time to the actual one.
+        task_spread: Sigma of the logarithm of the work of the tasks of a step.
+        initial_jobs: Number of jobs submitted at the start of a day.
+        worth: Credit for a job of mean size that meets its objective.
+        late_worth: Credit for one that ends within three times its objective.
     """
 
     name: str
@@ -55,7 +57,7 @@
     terms: model.QueueTerms
     width: float
     width_spread: float
-    longest_width: int
+    max_width: int
     work_s: float
     work_spread: float
     cpu_millis: int
@@ -68,8 +70,8 @@
     second_step_share: float
     cancelled_share: float
     estimate_spread: float
-    uneven: float
-    there_first: int
+    task_spread: float
+    initial_jobs: int
     worth: float
     late_worth: float
 
@@ -79,15 +81,15 @@
     """A site: its workers and its kinds of jobs.
 
     Attributes:
-        racks: How many racks there are.
-        per_rack: Workers in each.
-        capacity: Of each worker.
+        racks: Number of racks.
+        per_rack: Workers in each rack.
+        capacity: Capacity of each worker.
         kinds: The kinds of jobs.
-        stop_grace_s: A stop takes at most so long.
-        checkpoint_s: Tasks that save do so after so much work.
-        restore_s: What goes on from saved progress begins so much later.
+        stop_grace_s: Longest duration of a stop.
+        checkpoint_s: Work between two checkpoints of a task, in seconds.
+        restore_s: Delay of a run that continues from a checkpoint.
         guaranteed: Accelerators that each client account is guaranteed.
-        slow_workers: Every third worker takes so many times as long.
+        slow_workers: Slowdown factor of every third worker.
     """
 
     racks: int
@@ -101,9 +103,10 @@
     slow_workers: float = 1.3
 
     def waves(self, step: model.Step) -> int:
-        """Returns how often a step's work counts in its job's objective.
+        """Returns how many waves of a step the objective of its job allows.
 
-        A step that is wider than a quarter of the site may run in waves.
+        There is one wave for each quarter of the site that its tasks fill,
+        rounded up; the objective counts the work of the step once per wave.
         """
         workers = self.racks * self.per_rack
         slots = workers * step.needs.copies_in(self.capacity)
@@ -113,7 +116,7 @@
 def _kinds(
     cores: tuple[int, int, int],
     rates: tuple[float, ...],
-    there_first: tuple[int, int],
+    initial_jobs: tuple[int, int],
     urgent_estimate_spread: float,
 ) -> tuple[Kind, ...]:
     """Returns sweeps, urgent confirmations and batches of one site."""
@@ -125,7 +128,7 @@
             "sweep", rates[0], terms("pool", 1, 2, 3.0, 1000),
             5, 0.8, 30, 6.8, 0.3, sweep, sweep * mb_per_core // 1000,
             (1, 2, 4, 8, 8), True, 0.6, 0.45, 0.0, 0.0, 0.05, 0.9,
-            0.0, there_first[0], 3.0, 0.9,
+            0.0, initial_jobs[0], 3.0, 0.9,
         ),
         Kind(
             URGENT, rates[1], terms("pool", 0, 3, 1.5, 250),
@@ -138,7 +141,7 @@
             "batch", rates[2], terms("pool", 2, 4, 3.0, 3000),
             16, 0.8, 94, 6.1, 0.3, batch, batch * mb_per_core // 1000,
             (1,), False, 0.0, 0.45, 0.12, 0.3, 0.15, 0.5,
-            0.2, there_first[1], 1.0, 0.3,
+            0.2, initial_jobs[1], 1.0, 0.3,
         ),
     )  # fmt: skip
 
@@ -150,7 +153,7 @@
     _kinds((52, 15, 11), (0.392, 0.954, 0.369), (3, 4), 0.9),
     0.9,
 )
-"""Hut booking: confirmations are urgent, pricing and tagging can wait."""
+"""Hut booking: confirmations are urgent, pricing and tagging are not."""
 
 FINGAL = Shape(
     4,
@@ -159,11 +162,12 @@
     _kinds((13, 4, 3), (0.539, 1.2, 0.529), (4, 5), 0.2),
     0.2,
 )
-"""Tee sheet: slot offers are urgent, reconciliation and recalculation wait."""
+"""Tee sheet: slot offers are urgent; reconciliation and recalculation are
+not."""
 
 
 def _further_kinds() -> tuple[Kind, ...]:
-    """Returns the kinds of the site on which memory is scarce."""
+    """Returns the kinds of jobs of the site on which memory is scarce."""
     renewal, check, rescoring = _kinds(
         (13, 4, 3), (0.314, 1.19, 0.295), (5, 7), 0.5
     )
@@ -178,7 +182,7 @@
             cpu_millis=2_800,
             work_s=7.6,
             estimate_spread=0.2,
-            uneven=0.15,
+            task_spread=0.15,
         ),
     )
 
@@ -192,12 +196,13 @@
     checkpoint_s=0.5,
     restore_s=0.6,
 )
-"""Fleet pricing: exposure checks are urgent, renewals and rescoring wait, and
-memory is scarce: a renewal's task takes half of a worker's."""
+"""Fleet pricing: exposure checks are urgent, renewals and rescoring are not.
+Memory is scarce: a task of a renewal takes half of a
+worker's memory."""
 
 
 def _wide_kinds() -> tuple[Kind, ...]:
-    """Returns the kinds of the site of hundreds of workers."""
+    """Returns the kinds of jobs of the site with hundreds of workers."""
     sweep, urgent, batch = _kinds(
         (52, 15, 11), (2.14, 5.49, 1.69), (27, 31), 0.2
     )
@@ -205,21 +210,19 @@
         dataclasses.replace(
             sweep,
             width=13,
-            longest_width=76,
+            max_width=76,
             memory_mb=140_000,
             estimate_spread=0.2,
         ),
-        dataclasses.replace(
-            urgent, width=5.3, longest_width=32, memory_mb=31_000
-        ),
+        dataclasses.replace(urgent, width=5.3, max_width=32, memory_mb=31_000),
         dataclasses.replace(
             batch,
             width=38,
-            longest_width=230,
+            max_width=230,
             work_s=7.6,
             memory_mb=16_000,
             estimate_spread=0.9,
-            uneven=0.15,
+            task_spread=0.15,
         ),
     )
 
@@ -234,42 +237,42 @@
     restore_s=0.6,
     guaranteed=60,
 )
-"""Hut booking over many halls: hundreds of workers, urgent gangs that want
-whole workers of one rack, and wide batches of single accelerators."""
+"""Hut booking over many halls: hundreds of workers, urgent gangs that need
+whole workers of one rack, and wide batches of one accelerator per task."""
 
 
 def with_load(
     kind: Kind, capacity: model.Resources, workers: int, share: float
 ) -> Kind:
-    """Returns a kind at the rate at which it takes a share of some workers.
+    """Returns a kind at the arrival rate that takes a share of a site.
 
     Args:
         kind: The kind.
-        capacity: Of each worker.
-        workers: How many there are.
-        share: Of the resource of which it takes the most.
+        capacity: Capacity of each worker.
+        workers: Number of workers of the site.
+        share: Share of the resource of which the kind takes the most.
     """
     mean_accelerators = statistics.fmean(kind.accelerators)
-    taken = max(
+    max_share = max(
         kind.cpu_millis / capacity.cpu_millis,
         kind.memory_mb / capacity.memory_mb,
         mean_accelerators / capacity.accelerators,
     )
-    worker_s = kind.width * kind.work_s * taken
+    worker_s = kind.width * kind.work_s * max_share
     return dataclasses.replace(kind, per_s=share * workers / worker_s)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """A job that is handed in.
+    """A job that a caller submits.
 
     Attributes:
-        at_s: When, in seconds from the start.
+        at_s: Time of its submission, in seconds from the start.
         job: The job.
-        work_s: True run time of the tasks of each step.
+        work_s: Actual run time of the tasks of each step.
         kind: Its kind.
-        objective_s: It is in time if it ends so long after it came.
-        cancel_after_s: When it is cancelled after that, or None.
+        objective_s: Longest duration, from its submission, with full credit.
+        cancel_after_s: Delay from its submission to its cancellation, or None.
     """
 
     at_s: float
@@ -289,101 +292,106 @@
 
 
 def arrivals(
-    shape: Shape, source: random.Random, length_s: float, load: float = 1.0
+    shape: Shape, rng: random.Random, length_s: float, load: float = 1.0
 ) -> list[Arrival]:
-    """Returns the jobs of a day, in their order.
+    """Returns the jobs of a day, in the order of their submission.
 
     Args:
         shape: The site.
-        source: Of all that is random.
-        length_s: How long jobs come, in seconds.
-        load: Multiple of the usual rates.
+        rng: Source of all random decisions.
+        length_s: Time during which jobs arrive, in seconds.
+        load: Multiple of the usual arrival rates.
     """
-    found: list[Arrival] = []
+    jobs: list[Arrival] = []
     for kind in shape.kinds:
-        for _ in range(kind.there_first):
-            name = f"{kind.name}-{len(found)}"
-            found.append(_arrival(shape, source, kind, 0.0, name))
-        at_s = source.expovariate(kind.per_s * load)
+        for _ in range(kind.initial_jobs):
+            name = f"{kind.name}-{len(jobs)}"
+            jobs.append(_arrival(shape, rng, kind, 0.0, name))
+        at_s = rng.expovariate(kind.per_s * load)
         while at_s < length_s:
-            name = f"{kind.name}-{len(found)}"
-            found.append(_arrival(shape, source, kind, at_s, name))
-            at_s += source.expovariate(kind.per_s * load)
-    return sorted(found, key=lambda one: one.at_s)
+            name = f"{kind.name}-{len(jobs)}"
+            jobs.append(_arrival(shape, rng, kind, at_s, name))
+            at_s += rng.expovariate(kind.per_s * load)
+    return sorted(jobs, key=lambda arrival: arrival.at_s)
 
 
 def mean_core_s(jobs: abc.Iterable[Arrival]) -> dict[str, float]:
     """Returns the mean work of a job in core-seconds, by kind."""
     by_kind: dict[str, list[float]] = {}
-    for one in jobs:
-        by_kind.setdefault(one.kind.name, []).append(one.core_s)
+    for arrival in jobs:
+        by_kind.setdefault(arrival.kind.name, []).append(arrival.core_s)
     return {kind: statistics.fmean(work) for kind, work in by_kind.items()}
 
 
 def credit(arrival: Arrival, mean_core_s: float, took_s: float | None) -> float:
-    """Returns what a job earns that ended `took_s` after it came."""
+    """Returns the credit of a job that took `took_s`; None: it did not end.
+
+    The credit is the worth of its kind times 0.3 to 4, growing with its work.
+    """
     size = 0.3 + 0.7 * arrival.core_s / mean_core_s
-    owed = min(4.0, size)
+    weight = min(4.0, size)
     if took_s is None or took_s > 3 * arrival.objective_s:
         return 0.0
     if took_s <= arrival.objective_s:
-        return arrival.kind.worth * owed
-    return arrival.kind.late_worth * owed
+        return arrival.kind.worth * weight
+    return arrival.kind.late_worth * weight
 
 
 def _arrival(
-    shape: Shape, source: random.Random, kind: Kind, at_s: float, name: str
+    shape: Shape, rng: random.Random, kind: Kind, at_s: float, name: str
 ) -> Arrival:
-    steps = [_step(shape, source, kind, ())]
-    if source.random() < kind.second_step_share:
-        steps.append(_step(shape, source, kind, (0,)))
-    work = tuple(_skewed(source, kind.work_s, kind.work_spread) for _ in steps)
-    guessed = tuple(
+    steps = [_step(shape, rng, kind, ())]
+    if rng.random() < kind.second_step_share:
+        steps.append(_step(shape, rng, kind, (0,)))
+    work = tuple(_lognormal(rng, kind.work_s, kind.work_spread) for _ in steps)
+    estimated = tuple(
         msgspec.structs.replace(
             step,
             estimated_ms=int(
-                1000 * seconds * source.lognormvariate(0, kind.estimate_spread)
+                1000 * seconds * rng.lognormvariate(0, kind.estimate_spread)
             ),
         )
         for step, seconds in zip(steps, work, strict=True)
     )
-    account = source.choice(ACCOUNTS)
-    job = model.Job(name, kind.name, account, "payload", guessed, kind.terms)
-    chain_s = sum(
+    account = rng.choice(ACCOUNTS)
+    job = model.Job(name, kind.name, account, "payload", estimated, kind.terms)
+    critical_path_s = sum(
         shape.waves(step) * seconds
         for step, seconds in zip(steps, work, strict=True)
     )
-    objective_s = kind.terms.stretch * chain_s + kind.terms.target_ms / 1000
-    cancelled = source.random() < kind.cancelled_share
-    after_s = source.uniform(0.2, 5.0) if cancelled else None
+    objective_s = (
+        kind.terms.stretch * critical_path_s + kind.terms.target_ms / 1000
+    )
+    cancelled = rng.random() < kind.cancelled_share
+    after_s = rng.uniform(0.2, 5.0) if cancelled else None
     return Arrival(at_s, job, work, kind, objective_s, after_s)
 
 
 def _step(
     shape: Shape,
-    source: random.Random,
+    rng: random.Random,
     kind: Kind,
     depends_on: tuple[int, ...],
 ) -> model.Step:
-    width = _skewed(source, kind.width, kind.width_spread)
-    rack = f"r{source.randrange(shape.racks)}"
-    tasks = max(1, min(kind.longest_width, round(width)))
+    width = _lognormal(rng, kind.width, kind.width_spread)
+    rack = f"r{rng.randrange(shape.racks)}"
+    tasks = max(1, min(kind.max_width, round(width)))
     needs = model.Resources(
-        kind.cpu_millis, kind.memory_mb, source.choice(kind.accelerators)
+        kind.cpu_millis, kind.memory_mb, rng.choice(kind.accelerators)
     )
-    # A gang that no rack holds would be late whatever is done.
-    one_rack = tasks <= shape.per_rack * needs.copies_in(shape.capacity)
+    # A gang that does not fit in one rack would always miss its objective.
+    fits_in_rack = tasks <= shape.per_rack * needs.copies_in(shape.capacity)
     return model.Step(
         tasks,
         needs,
         depends_on=depends_on,
         gang=kind.gang,
-        same_rack=source.random() < kind.one_rack_share and one_rack,
-        data_rack=rack if source.random() < kind.data_rack_share else "",
-        saves_progress=source.random() < kind.saves_share,
+        same_rack=rng.random() < kind.one_rack_share and fits_in_rack,
+        data_rack=rack if rng.random() < kind.data_rack_share else "",
+        saves_progress=rng.random() < kind.saves_share,
     )
 
 
-def _skewed(source: random.Random, mean: float, sigma: float) -> float:
-    """Returns a draw from a lognormal distribution with this mean."""
-    return source.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
+def _lognormal(rng: random.Random, mean: float, sigma: float) -> float:
+    """Returns a random value of the lognormal distribution with this mean."""
+    return rng.lognormvariate(math.log(mean) - sigma * sigma / 2, sigma)
--- a/laburnumsill/emulator/main.py
+++ b/laburnumsill/emulator/main.py
@@ -1,8 +1,8 @@
 """The program `laburnumsill-emulator`: a site in virtual time.
 
-It runs the real scheduler against emulated workers, so a change of the
-planner, a load or a series of troubles can be tried in seconds and without a
-site. Nothing is started and no port is opened.
+It runs the real scheduler against emulated workers, so that a change of the
+planner, a load or a set of faults can be tried in seconds and without a site.
+It starts no other process and opens no port.
 """
 
 import json
@@ -19,16 +19,17 @@
 from laburnumsill.emulator import troubles
 
 RULE_BROKEN = 1
-"""Exit status if something did not hold that must always hold."""
+"""Exit status if an invariant was violated."""
 
 BAD_ARGUMENT = 2
+"""Exit status for an invalid argument."""
 
 DRAWN = "drawn"
-"""The name of sites that are drawn by a seed."""
+"""Name that selects a random site, see `drawn`."""
 
 
 class Emulator:
-    """Plays days of an emulated site and says what jobs earned."""
+    """Runs days of an emulated site and prints the credit of its jobs."""
 
     def day(
         self,
@@ -40,19 +41,18 @@
         site_seed: int = 0,
         without: str = "",
     ) -> None:
-        """Plays one day and prints what became of its jobs.
+        """Runs one day and prints the states of its jobs and their credit.
 
         Args:
-            seed: Of everything that is random; it repeats the day.
+            seed: Seed of all random decisions; the same seed repeats the day.
             site: `tana-shore`, `fingal`, `further`, `wide` or `drawn`.
             load: Multiple of the usual rates of jobs.
-            trouble: What may come, with commas between: lead, lost, late,
-                cut, hang, fail, crash, shrink, suspend, restart; or
-                `all`.
+            trouble: Faults to inject, separated by commas: lead, lost, late,
+                cut, hang, fail, crash, shrink, suspend, restart; or `all`.
             log: Whether to print the scheduler's log lines too.
-            site_seed: Of a drawn site; it repeats the site.
-            without: Mechanisms of the planner to leave out, with commas
-                between, to measure what they are worth; see `batch.policy`.
+            site_seed: Seed of the site `drawn`; the same seed repeats it.
+            without: Mechanisms of the planner to disable, separated by
+                commas, to measure their benefit; see `batch.policy`.
         """
         if not log:
             loguru.logger.remove()
@@ -79,11 +79,11 @@
         site_seed: int = 0,
         without: str = "",
     ) -> None:
-        """Plays some days with different seeds and adds them up.
+        """Runs several days with different seeds and prints their total.
 
         Args:
-            count: How many.
-            first_seed: The seed of the first; each next one is one more.
+            count: Number of days.
+            first_seed: Seed of the first day; each further day adds 1.
             site: As for `day`.
             load: Multiple of the usual rates of jobs.
             trouble: As for `day`.
@@ -93,7 +93,7 @@
         """
         loguru.logger.remove()
         if count < 1:
-            _refuse(f"count is {count}, not 1 or more")
+            _exit_bad_argument(f"count is {count}, not 1 or more")
         shape, kinds = _shape(site, site_seed), _kinds(trouble)
         policy = _policy(without)
         results = {
@@ -110,38 +110,38 @@
         return drawn.site(site_seed)
     if site not in days_module.SHAPES:
         known = ", ".join([*days_module.SHAPES, DRAWN])
-        _refuse(f"no site {site!r}; there are {known}")
+        _exit_bad_argument(f"no site {site!r}; there are {known}")
     return days_module.SHAPES[site]
 
 
-def _names(given: str | tuple[str, ...]) -> tuple[str, ...]:
-    """Returns names given with commas, of which fire makes a tuple."""
+def _split_names(given: str | tuple[str, ...]) -> tuple[str, ...]:
+    """Splits a list at its commas; fire parses some lists into tuples."""
     names = given.split(",") if isinstance(given, str) else given
     return tuple(name.strip() for name in names if name.strip())
 
 
 def _policy(without: str | tuple[str, ...]) -> policies.Policy:
     try:
-        return policies.without(_names(without))
+        return policies.without(_split_names(without))
     except policies.UnknownMechanismError as error:
-        _refuse(f"no mechanism {error.detail}")
+        _exit_bad_argument(f"no mechanism {error.detail}")
 
 
 def _kinds(trouble: str | tuple[str, ...]) -> tuple[str, ...]:
-    kinds = _names(trouble)
+    kinds = _split_names(trouble)
     if kinds == ("all",):
         return tuple(troubles.KINDS)
     for kind in kinds:
         if kind not in troubles.KINDS:
             known = ", ".join(troubles.KINDS)
-            _refuse(f"no trouble {kind!r}; there are {known}")
+            _exit_bad_argument(f"no trouble {kind!r}; there are {known}")
     return kinds
 
 
 def _print_summary(
     results: dict[int, days_module.Result], output: str = "text"
 ) -> None:
-    """Prints what days add up to; ends the program if a rule was broken."""
+    """Prints the total; exits with an error if an invariant was violated."""
     summary = days_module.summary(results)
     line = {
         "days": len(results),
@@ -161,8 +161,8 @@
         sys.exit(RULE_BROKEN)
 
 
-def _refuse(detail: str) -> typing.NoReturn:
-    """Ends the program: an argument makes no sense."""
+def _exit_bad_argument(detail: str) -> typing.NoReturn:
+    """Reports an invalid argument and exits."""
     print(f"laburnumsill-emulator: {detail}", file=sys.stderr)
     sys.exit(BAD_ARGUMENT)
 
--- a/laburnumsill/emulator/oracle.py
+++ b/laburnumsill/emulator/oracle.py
@@ -1,4 +1,4 @@
-"""What must always hold, judged by what the workers see."""
+"""Checks the invariants of a site against the events on its workers."""
 
 import collections
 import dataclasses
@@ -7,79 +7,92 @@
 
 from laburnumsill.batch import model
 
-CANCEL_S = 3.0
-"""Nothing of a job starts later than this after its cancellation."""
+CANCEL_GRACE_S = 3.0
+"""No run of a job may start later than this after its cancellation."""
 
-SHRUNK_AFTER_S = 4.5
-"""A capacity that has shrunk counts so much later, in seconds: what the
-users' sites allow for word of it, and the time between two heartbeats."""
+SHRINK_GRACE_S = 4.5
+"""Time until a reduced capacity is enforced: the delay that the users' sites
+allow for its announcement, and the interval between two heartbeats."""
 
-CRASHES_BORNE = 3
-"""After so many crashes under it a task is a crashing one."""
+CRASH_LIMIT = 3
+"""Worker crashes during its runs after which a task counts as crashing."""
 
-STARTS_BORNE = 2
-"""A crashing task is started at most so many times more."""
+MAX_EXTRA_STARTS = 2
+"""Most starts of a task once it counts as crashing."""
 
 
 @dataclasses.dataclass(slots=True)
-class Truth:
-    """What the emulation knows of one job.
+class GroundTruth:
+    """The actual history of one job, as its workers executed it.
 
     Attributes:
-        job: As it was submitted.
-        cancelled_at: When its cancellation was acknowledged, or None.
+        job: The job as submitted.
+        cancelled_at: Time of the acknowledgement of its cancellation, or None.
         begun: Whether any of its tasks was ever started.
-        done: Tasks that have ended well.
-        noted_done: Tasks whose good end was noted.
-        failures: Noted failures by task.
-        crashes: How many workers have crashed while they ran a task.
-        starts_beyond: Starts of a task after `CRASHES_BORNE` crashes.
+        done: Tasks that have completed.
+        acknowledged_done: Tasks whose completion the leader acknowledged.
+        failures: Acknowledged failures, by task.
+        crashes: Worker crashes during runs of a task, by task.
+        extra_starts: Starts after `CRASH_LIMIT` crashes, by task.
     """
 
     job: model.Job
     cancelled_at: float | None = None
     begun: bool = False
     done: set[model.TaskId] = dataclasses.field(default_factory=set)
-    noted_done: set[model.TaskId] = dataclasses.field(default_factory=set)
+    acknowledged_done: set[model.TaskId] = dataclasses.field(
+        default_factory=set
+    )
     failures: dict[model.TaskId, int] = dataclasses.field(default_factory=dict)
     crashes: collections.Counter[model.TaskId] = dataclasses.field(
         default_factory=collections.Counter
     )
-    starts_beyond: collections.Counter[model.TaskId] = dataclasses.field(
+    extra_starts: collections.Counter[model.TaskId] = dataclasses.field(
         default_factory=collections.Counter
     )
 
 
 class Oracle:
-    """Collects broken rules.
+    """Records the events of a site and collects violated invariants.
+
+    A violation is reported as a line with the time, a word and details:
+
+    - `UNASKED`: a run of a job that was not submitted, or was cancelled;
+    - `TWICE`: a run of a task that is running or done already;
+    - `ORDER`: a run before a step on which its step depends;
+    - `BUDGET`: a run after the last allowed failure or crash;
+    - `LIMIT`: a run beyond the capacity of its worker;
+    - `MIXED`: a state was shown that the job does not have.
 
     Attributes:
-        broken: One line for each.
-        jobs: What is known of the jobs by id.
+        broken: The violations, one line each.
+        jobs: The actual histories of the jobs, by id.
     """
 
     def __init__(self) -> None:
         self.broken: list[str] = []
-        self.jobs: dict[str, Truth] = {}
+        self.jobs: dict[str, GroundTruth] = {}
         self._live: dict[model.TaskId, dict[model.RunId, str]] = {}
         self._used: dict[str, model.Resources] = {}
-        self._shrunk: dict[str, list[tuple[float, model.Resources]]] = {}
+        self._former_capacities: dict[
+            str, list[tuple[float, model.Resources]]
+        ] = {}
 
     def submitted(self, job: model.Job) -> None:
-        """Notes that a job was sent."""
-        self.jobs.setdefault(job.job_id, Truth(job))
+        """Records that a job was submitted."""
+        self.jobs.setdefault(job.job_id, GroundTruth(job))
 
-    def started(
+    def check_start(
         self, run: model.RunId, worker: model.Worker, now: float, late: bool
     ) -> None:
-        """Judges a run that begins on a worker.
+        """Checks a run that starts on a worker.
 
         Args:
-            run: Which run.
-            worker: Where.
-            now: The loop's time.
-            late: Whether the order was carried out late; rules with a time
-                bound do not hold for it.
+            run: The run.
+            worker: The worker.
+            now: Time of the event loop's clock.
+            late: Whether the order was delayed; invariants with a time bound
+                are not checked for it.
         """
         truth = self.jobs.get(run.task.job_id)
         if truth is None:
@@ -89,7 +102,7 @@
         others = self._live.setdefault(run.task, {})
         if others:
             self._break(now, f"TWICE {run} on {worker.worker_id}: {others}")
-        if run.task in truth.noted_done:
+        if run.task in truth.acknowledged_done:
             self._break(now, f"TWICE {run}: its task is done")
         step = truth.job.steps[run.task.step]
         for number in step.depends_on:
@@ -100,86 +113,99 @@
                 if before not in truth.done:
                     self._break(now, f"ORDER {run} before {before}")
         at = truth.cancelled_at
-        if at is not None and now > at + CANCEL_S and not late:
+        if at is not None and now > at + CANCEL_GRACE_S and not late:
             self._break(now, f"UNASKED {run}, cancelled at {at:.2f}")
         spent = truth.failures.get(run.task, 0)
         if spent >= truth.job.terms.max_attempts:
             self._break(now, f"BUDGET {run} after {spent} failures")
-        if truth.crashes[run.task] >= CRASHES_BORNE and not late:
-            truth.starts_beyond[run.task] += 1
-            if truth.starts_beyond[run.task] > STARTS_BORNE:
+        if truth.crashes[run.task] >= CRASH_LIMIT and not late:
+            truth.extra_starts[run.task] += 1
+            if truth.extra_starts[run.task] > MAX_EXTRA_STARTS:
                 count = truth.crashes[run.task]
                 self._break(now, f"BUDGET {run} after {count} crashes")
         used = self._used.get(worker.worker_id, model.Resources()) + step.needs
         self._used[worker.worker_id] = used
-        if not used.fits_in(self._room_of(worker, now)):
+        if not used.fits_in(self._max_capacity(worker, now)):
             self._break(now, f"LIMIT {run} on {worker.worker_id}: {used}")
         others[run] = worker.worker_id
 
-    def resized(self, worker: model.Worker, now: float) -> None:
-        """Notes that a worker's capacity is about to change from this."""
-        until = (now + SHRUNK_AFTER_S, worker.capacity)
-        self._shrunk.setdefault(worker.worker_id, []).append(until)
+    def record_resize(self, worker: model.Worker, now: float) -> None:
+        """Records a worker's capacity just before it changes.
 
-    def _room_of(self, worker: model.Worker, now: float) -> model.Resources:
-        """Returns the most that a worker may hold now."""
-        held = self._shrunk.get(worker.worker_id, [])
-        rooms = [room for until, room in held if now <= until]
-        rooms.append(worker.capacity)
+        Runs may use this capacity for another `SHRINK_GRACE_S`.
+        """
+        until = (now + SHRINK_GRACE_S, worker.capacity)
+        self._former_capacities.setdefault(worker.worker_id, []).append(until)
+
+    def _max_capacity(
+        self, worker: model.Worker, now: float
+    ) -> model.Resources:
+        """Returns the most resources that runs may use on a worker now.
+
+        This is the maximum, per resource, of the current capacity and the
+        recent ones.
+        """
+        former = self._former_capacities.get(worker.worker_id, [])
+        allowed = [resources for until, resources in former if now <= until]
+        allowed.append(worker.capacity)
         return model.Resources(
-            max(room.cpu_millis for room in rooms),
-            max(room.memory_mb for room in rooms),
-            max(room.accelerators for room in rooms),
+            max(resources.cpu_millis for resources in allowed),
+            max(resources.memory_mb for resources in allowed),
+            max(resources.accelerators for resources in allowed),
         )
 
-    def ended(self, run: model.RunId, worker_id: str, done: bool) -> None:
-        """Notes that a run occupies its worker no more."""
+    def record_end(self, run: model.RunId, worker_id: str, done: bool) -> None:
+        """Records that a run ended and released its resources."""
         if done:
             self.jobs[run.task.job_id].done.add(run.task)
-        self._leave(run, worker_id)
+        self._release(run, worker_id)
 
-    def crashed(self, run: model.RunId, worker_id: str) -> None:
-        """Notes that a worker has crashed while a run was there."""
+    def record_crash(self, run: model.RunId, worker_id: str) -> None:
+        """Records that a worker crashed during a run."""
         self.jobs[run.task.job_id].crashes[run.task] += 1
-        self._leave(run, worker_id)
+        self._release(run, worker_id)
 
-    def _leave(self, run: model.RunId, worker_id: str) -> None:
+    def _release(self, run: model.RunId, worker_id: str) -> None:
         if self._live.get(run.task, {}).pop(run, None) is None:
             return
         truth = self.jobs[run.task.job_id]
         needs = truth.job.steps[run.task.step].needs
         self._used[worker_id] = self._used[worker_id] - needs
 
-    def noted(
-        self, run: model.RunId, kind: str, gang: bool, lapsed: bool = False
+    def record_acknowledged_end(
+        self,
+        run: model.RunId,
+        kind: str,
+        gang: bool,
+        after_expiry: bool = False,
     ) -> None:
-        """Notes that an end was acknowledged to its worker.
+        """Records that the leader acknowledged the end of a run.
 
         Args:
-            run: Which run had ended.
-            kind: How.
-            gang: Whether the end stands for all of its gang.
-            lapsed: Whether the worker's lease has run out since the end. A
-                leader may take the run for lost then and start its task again,
-                also while the end is being read at last.
+            run: The run that ended.
+            kind: The kind of its end.
+            gang: Whether the end applies to all members of its gang.
+            after_expiry: Whether the worker's lease has expired since the end.
+                A leader may then consider the run lost and restart its task,
+                even while the end is being delivered.
         """
         truth = self.jobs[run.task.job_id]
-        if lapsed and kind == "done":
+        if after_expiry and kind == "done":
             return
         if kind == "done" and gang:
             step = truth.job.steps[run.task.step]
             for index in range(step.tasks):
-                truth.noted_done.add(
+                truth.acknowledged_done.add(
                     msgspec.structs.replace(run.task, index=index)
                 )
         elif kind == "done":
-            truth.noted_done.add(run.task)
+            truth.acknowledged_done.add(run.task)
         elif kind == "failed":
             count = truth.failures.get(run.task, 0)
             truth.failures[run.task] = count + 1
 
     def shown(self, job_id: str, state: str, now: float) -> None:
-        """Judges a state that was shown of a job."""
+        """Checks a state of a job that was shown to a caller."""
         truth = self.jobs.get(job_id)
         if truth is None:
             self._break(now, f"MIXED {job_id} was never sent")
--- a/laburnumsill/emulator/peers.py
+++ b/laburnumsill/emulator/peers.py
@@ -8,16 +8,16 @@
 from laburnumsill.core import errors
 from laburnumsill.core import replication
 
-TRIP_S = 0.0005
-"""From one VM to another of the site."""
+ONE_WAY_LATENCY_S = 0.0005
+"""One-way latency between two VMs of the site."""
 
 
 class EmulatedPeers(replication.Peers):
-    """The peers of one VM; all VMs reach each other.
+    """The peers of one VM; every VM can reach every other one.
 
     Args:
-        handlers: The handlers of all VMs by VM and type of request.
-        vm: This VM.
+        handlers: The handlers of all VMs, by VM and request type.
+        vm: The local VM.
     """
 
     def __init__(
@@ -31,30 +31,30 @@
     async def call(
         self, vm: str, request: object, deadline: float
     ) -> typing.Any:
-        """Runs the other VM's handler on a copy of the request."""
+        """Runs the handler of `vm` on a decoded copy of the request."""
         handler = self._handlers[vm, type(request)]
         remaining = deadline - trio.current_time()
         with trio.move_on_after(max(0.0, remaining)):
-            await trio.sleep(TRIP_S)
+            await trio.sleep(ONE_WAY_LATENCY_S)
             answer = await handler(codec.decode(codec.encode(request)))
-            await trio.sleep(TRIP_S)
+            await trio.sleep(ONE_WAY_LATENCY_S)
             return codec.decode(codec.encode(answer))
         raise errors.OutcomeUnknownError(f"{vm}: no reply came")
 
     def on_call(
         self, request_type: type, handler: replication.AsyncHandler
     ) -> None:
-        """Answers calls of `request_type` to this VM."""
+        """Registers the handler of `request_type` on this VM."""
         self._handlers[self._vm, request_type] = handler
 
     def notify(self, vm: str, notice: object) -> None:
-        """Nothing emulated sends notices."""
+        """Does nothing: no emulated component sends notices."""
 
     def on_notice(
         self, notice_type: type, handler: replication.Handler
     ) -> None:
-        """Nothing emulated sends notices."""
+        """Does nothing: no emulated component sends notices."""
 
     def reachable(self) -> frozenset[str]:
-        """Returns the VMs."""
+        """Returns all VMs that have a handler."""
         return frozenset(vm for vm, _ in self._handlers)
--- a/laburnumsill/emulator/site.py
+++ b/laburnumsill/emulator/site.py
@@ -1,4 +1,4 @@
-"""An emulated site: two VMs that may lead, workers, and callers."""
+"""An emulated site: two VMs that may lead, workers and callers."""
 
 import dataclasses
 import random
@@ -28,7 +28,7 @@
 GROUP = "site"
 
 POOL = "pool"
-"""All workers of the site are of this one."""
+"""The pool of all workers of the site."""
 
 EPOCH = 1_700_000_000.0
 """Wall time at the start of an emulation, in Unix seconds."""
@@ -36,23 +36,23 @@
 HEARTBEAT_S = 1.5
 
 FIRST_HEARTBEAT_S = 0.1
-"""Workers announce themselves so soon after the first leader leads."""
+"""Delay from the start of the first leader to the first heartbeats."""
 
-RESTART_S = (1.0, 4.0)
-"""A worker that crashed is back after so long, at least and at most."""
+RESTART_DELAY_S = (1.0, 4.0)
+"""Shortest and longest delay until a crashed worker restarts."""
 
 DEFAULT_CAPACITY = model.Resources(64_000, 262_144, 8)
-"""Of a worker, unless another one is given."""
+"""Default capacity of a worker."""
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What became of a job.
+    """The progress of a job as callers see it; times are of the loop's clock.
 
     Attributes:
-        submitted_at: The loop's time.
-        ended_at: When its end was shown, None if it was not.
-        state: What was shown last.
+        submitted_at: Time of its submission.
+        ended_at: Time at which a final state was first shown, or None.
+        state: The state shown last.
     """
 
     submitted_at: float
@@ -64,18 +64,32 @@
     """Runs real schedulers against emulated workers.
 
     Args:
-        seed: Of everything that is random.
-        racks: How many racks there are.
-        per_rack: Workers in each.
-        capacity: Of each worker.
-        stop_grace_s: How long a stop takes at most.
-        saving: How tasks save their progress.
-        policy: Which mechanisms of the planner are in use.
+        seed: Seed of all random decisions.
+        racks: Number of racks.
+        per_rack: Workers in each rack.
+        capacity: Capacity of each worker.
+        stop_grace_s: Longest duration of a stop.
+        checkpointing: Timing of the checkpoints of tasks.
+        policy: The enabled mechanisms of the planner.
 
     Attributes:
-        keeps_names: Whether workers that crashed start again under their
-            names.
-        restart_s: They are back after so long, at least and at most.
+        oracle: Records and checks the events on the workers.
+        work: Actual work of the tasks of a step in seconds, by job and step.
+        task_spread: Spread of the work of the tasks of a step, by job.
+        failing_jobs: Jobs whose tasks always fail.
+        crashing: Tasks that crash each worker that starts them.
+        keeps_names: Whether crashed workers restart under their names.
+        restart_delay_s: Shortest and longest delay until a crashed worker
+            restarts.
+        guarantees: Guaranteed accelerators, by client account.
+        outcomes: The progress of all jobs as callers see it, by job.
+        pool: The workers.
+        client: Sends the orders of both schedulers to the workers.
+        ledger: The state machine of the group.
+        groups: The leadership of the group.
+        silent: Ids of workers that send no heartbeats.
+        schedulers: The scheduler of each VM.
+        intakes: The receiver of the workers' announcements on each VM.
     """
 
     def __init__(
@@ -85,28 +99,30 @@
         per_rack: int = 4,
         capacity: model.Resources = DEFAULT_CAPACITY,
         stop_grace_s: float = worker_module.DEFAULT_STOP_GRACE_S,
-        saving: worker_module.Saving = worker_module.DEFAULT_SAVING,
+        checkpointing: worker_module.Checkpointing = (
+            worker_module.DEFAULT_CHECKPOINTING
+        ),
         policy: policies.Policy = policies.ALL,
     ) -> None:
         self._seed = seed
         self.random = random.Random(seed)
         self.oracle = oracles.Oracle()
         self.work: dict[tuple[str, int], float] = {}
-        self.uneven: dict[str, float] = {}
-        self.hopeless: set[str] = set()
+        self.task_spread: dict[str, float] = {}
+        self.failing_jobs: set[str] = set()
         self.crashing: set[model.TaskId] = set()
         self.keeps_names = False
-        self.restart_s = RESTART_S
+        self.restart_delay_s = RESTART_DELAY_S
         self.guarantees: dict[str, int] = {}
         self.outcomes: dict[str, Outcome] = {}
         self.pool = worker_module.WorkerPool(
             self.oracle,
             self._work_of,
-            lambda task: task.job_id in self.hopeless,
+            lambda task: task.job_id in self.failing_jobs,
             lambda: self.random.uniform(
-                worker_module.SHORTEST_STOP * stop_grace_s, stop_grace_s
+                worker_module.MIN_STOP_SHARE * stop_grace_s, stop_grace_s
             ),
-            saving,
+            checkpointing,
         )
         self.pool.is_crashing = self.crashing.__contains__
         self.pool.on_crash = self._restart_later
@@ -129,7 +145,7 @@
                     self._clock,
                     metrics_module.Metrics(),
                     leading.WorkerLimits(
-                        worker_module.LONGEST_LEASE_MS, int(1000 * stop_grace_s)
+                        worker_module.MAX_LEASE_MS, int(1000 * stop_grace_s)
                     ),
                     _named_pools,
                     policy,
@@ -158,7 +174,7 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Runs the site until cancelled; vm1 leads first."""
+        """Runs the site until cancelled; vm1 is the first leader."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             await nursery.start(self.client.run)
@@ -169,12 +185,12 @@
             racks, per_rack = self._shape
             for rack in range(racks):
                 for number in range(per_rack):
-                    self._add_first(f"w{rack}-{number}", rack)
+                    self._add_initial(f"w{rack}-{number}", rack)
             nursery.start_soon(self._send_heartbeats)
             task_status.started()
             await trio.sleep_forever()
 
-    def _add_first(self, name: str, rack: int) -> None:
+    def _add_initial(self, name: str, rack: int) -> None:
         if self.keeps_names:
             self.add_worker(f"{name}@0", rack, name, name)
         else:
@@ -183,13 +199,13 @@
     def add_worker(
         self, worker_id: str, rack: int, address: str = "", name: str = ""
     ) -> worker_module.EmulatedWorker:
-        """Adds a worker and makes it known.
+        """Adds a worker and announces it.
 
         Args:
-            worker_id: New for each incarnation.
+            worker_id: The id, new for each incarnation.
             rack: The number of its rack.
-            address: That of the worker before it, "" for one of its own.
-            name: That of the worker before it, "" for one of its own.
+            address: The address of its predecessor, "" for a new one.
+            name: The name of its predecessor, "" for a new one.
         """
         worker = model.Worker(
             worker_id,
@@ -204,17 +220,17 @@
         behaviour = worker_module.Behaviour(
             clock_rate=self.random.choice([1.0, 0.98])
         )
-        made = self.pool.add(worker, behaviour)
+        added = self.pool.add(worker, behaviour)
         self.announce(worker, 0)
-        return made
+        return added
 
     def _restart_later(self, crashed: worker_module.EmulatedWorker) -> None:
         assert self._nursery is not None
         self._nursery.start_soon(self._restart, crashed)
 
     async def _restart(self, crashed: worker_module.EmulatedWorker) -> None:
-        """Has another incarnation begin at a crashed worker's address."""
-        await trio.sleep(self.random.uniform(*self.restart_s))
+        """Starts the next incarnation at the address of a crashed worker."""
+        await trio.sleep(self.random.uniform(*self.restart_delay_s))
         crashed.is_down = False
         worker = crashed.worker
         rack = int(worker.rack[1:])
@@ -226,11 +242,11 @@
         self.add_worker(f"{name}@{born_ms}", rack, worker.address, name)
 
     def announce(self, worker: model.Worker, sequence: int) -> None:
-        """Has an announcement arrive, maybe long after it was sent."""
+        """Applies a worker's announcement, which may be an outdated one."""
         self.groups.machine.apply(commands.PutWorker(worker, sequence))
 
     async def propose(self, command: object) -> typing.Any:
-        """Commits a caller's command with whoever leads."""
+        """Commits a caller's command; retries until a leader accepts it."""
         while True:
             vm = self.groups.leader
             try:
@@ -244,27 +260,27 @@
         self,
         job: model.Job,
         work_s: list[float],
-        hopeless: bool = False,
-        uneven: float = 0.0,
+        always_fails: bool = False,
+        task_spread: float = 0.0,
         crashing: abc.Iterable[model.TaskId] = (),
     ) -> None:
-        """Hands a job in.
+        """Submits a job.
 
         Args:
             job: The job.
-            work_s: The true work of each step's tasks.
-            hopeless: Whether its tasks always fail.
-            uneven: Sigma of the logarithm of the work of one task of a step
-                against another's.
-            crashing: Tasks of it that crash each worker that starts them.
+            work_s: Actual work of each task of a step, by step.
+            always_fails: Whether its tasks always fail.
+            task_spread: Sigma of the logarithm of the work of the tasks of a
+                step.
+            crashing: Its tasks that crash each worker that starts them.
         """
         self.crashing.update(crashing)
         self.oracle.submitted(job)
-        self.uneven[job.job_id] = uneven
+        self.task_spread[job.job_id] = task_spread
         for step, seconds in enumerate(work_s):
             self.work[(job.job_id, step)] = seconds
-        if hopeless:
-            self.hopeless.add(job.job_id)
+        if always_fails:
+            self.failing_jobs.add(job.job_id)
         self.outcomes[job.job_id] = Outcome(trio.current_time())
         await self.propose(
             caller_commands.SubmitJob(job, self._clock.wall_ms())
@@ -279,7 +295,7 @@
         truth.cancelled_at = trio.current_time()
 
     def look(self) -> None:
-        """Looks at the states of all jobs, as callers do."""
+        """Queries the states of all jobs, as callers do, and checks them."""
         now = trio.current_time()
         for job_id, outcome in self.outcomes.items():
             state = self.ledger.job_state(
@@ -293,13 +309,13 @@
             outcome.state = state
 
     def _work_of(self, task: model.TaskId) -> float:
-        """Returns the true work of a task, in seconds; each run has it."""
+        """Returns the actual work of a task in seconds, equal for each run."""
         work_s = self.work[(task.job_id, task.step)]
-        uneven = self.uneven[task.job_id]
-        if not uneven:
+        task_spread = self.task_spread[task.job_id]
+        if not task_spread:
             return work_s
-        source = random.Random(f"{self._seed} {task}")
-        return work_s * source.lognormvariate(0, uneven)
+        rng = random.Random(f"{self._seed} {task}")
+        return work_s * rng.lognormvariate(0, task_spread)
 
     async def _send_heartbeats(self) -> None:
         await trio.sleep(FIRST_HEARTBEAT_S)
@@ -312,12 +328,12 @@
                     worker.sequence += 1
                     if worker.worker != worker.announced:
                         nursery.start_soon(self._announce_change, worker)
-                    self._hear(worker)
+                    self._deliver_heartbeat(worker)
                 await trio.sleep(HEARTBEAT_S)
 
-    def _hear(self, worker: worker_module.EmulatedWorker) -> None:
+    def _deliver_heartbeat(self, worker: worker_module.EmulatedWorker) -> None:
         for vm, scheduler in self.schedulers.items():
-            if not self.groups.sleeps(vm):
+            if not self.groups.is_suspended(vm):
                 scheduler.observe_heartbeat(
                     worker.worker.worker_id, worker.clock_ms
                 )
@@ -325,7 +341,7 @@
     async def _announce_change(
         self, changed: worker_module.EmulatedWorker
     ) -> None:
-        """Has a VM take note of what a worker says of itself now."""
+        """Announces a worker's current description to one of the VMs."""
         vm = self.random.choice(list(self.intakes))
         worker = changed.worker
         announcement = intake.Announcement(
@@ -334,7 +350,7 @@
         try:
             await self.intakes[vm].announce(announcement)
         except errors.LaburnumsillError:
-            return  # the next heartbeat says it again
+            return  # the next heartbeat repeats the announcement
         changed.announced = worker
 
 
--- a/laburnumsill/emulator/tests/test_cancelled.py
+++ b/laburnumsill/emulator/tests/test_cancelled.py
@@ -1,4 +1,4 @@
-"""Runs of cancelled jobs end soon, whoever ordered them and however late."""
+"""Runs of cancelled jobs end soon, even if started by late orders."""
 
 import pytest
 import trio
@@ -10,11 +10,11 @@
 
 WORKERS = 4
 JOBS = 6
-SOON_S = 1.5
-"""A run is listed, stopped, and ends within 0.4 s of that."""
+MAX_RUN_S = 1.5
+"""Time to list and stop a run, which then ends within 0.4 s."""
 
 WATCHED_S = 25.0
-"""Late orders are carried out up to 12 s after they were given."""
+"""Late orders are executed up to 12 s after they were sent."""
 
 
 def job(number):
@@ -24,7 +24,7 @@
 
 
 async def watch(site, cut_until, found):
-    """Collects the runs that go on although their worker can be reached."""
+    """Collects the runs that continue although their worker is reachable."""
     ends_at = trio.current_time() + WATCHED_S
     while trio.current_time() < ends_at:
         await trio.sleep(0.1)
@@ -32,17 +32,20 @@
         if now >= cut_until:
             site.client.cut = set()
         found.extend(
-            f"{now:.1f} {one.run} since {one.began_at:.1f}"
+            f"{now:.1f} {one.run} since {one.started_at:.1f}"
             for worker in site.pool.workers.values()
             for one in worker.running.values()
-            if now - max(one.began_at, cut_until) > SOON_S
+            if now - max(one.started_at, cut_until) > MAX_RUN_S
         )
 
 
 @pytest.mark.parametrize("cut_s", [0.0, 3.0, 8.0, 14.0])
 @pytest.mark.parametrize("seed", range(6))
-def test_a_cancelled_job_ends_though_its_starter_was_removed(seed, cut_s):
-    """Its orders are carried out late, some while workers are cut off."""
+def test_cancelled_job_ends_although_its_leader_was_removed(seed, cut_s):
+    """The start orders are executed late, some on unreachable workers.
+
+    The leader that sent them was removed before they arrived.
+    """
     found = []
 
     async def main():
@@ -68,7 +71,7 @@
     assert not found, found[:3]
 
 
-def test_an_idle_worker_refuses_orders_of_an_earlier_leader():
+def test_idle_worker_refuses_orders_of_an_earlier_leader():
     async def main():
         site = sites.EmulatedSite(1, racks=1, per_rack=WORKERS)
         async with trio.open_nursery() as nursery:
--- a/laburnumsill/emulator/tests/test_crashing_tasks.py
+++ b/laburnumsill/emulator/tests/test_crashing_tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that crash each worker that starts them, beside sound ones."""
+"""Tasks that crash each worker that starts them, together with others."""
 
 import random
 
@@ -29,10 +29,10 @@
     site.look()
 
 
-def play(seed, script, racks=2, per_rack=3):
-    """Plays a script on a small site; returns the site.
+def run_site(seed, script, racks=2, per_rack=3):
+    """Runs a script on a small site; returns the site.
 
-    On every other one workers start again under their names.
+    With odd seeds, crashed workers restart under their names.
     """
 
     async def main():
@@ -55,18 +55,18 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_a_task_that_crashes_each_worker_is_given_up(seed):
+def test_job_of_a_task_that_crashes_each_worker_fails(seed):
     async def script(site):
         await site.submit(job("crashing", 1), [2.0], crashing=[CRASHING])
 
-    site = play(seed, script)
+    site = run_site(seed, script)
     assert states(site) == {"crashing": "failed"}
     assert site.oracle.jobs["crashing"].crashes[CRASHING] <= 5
 
 
 @pytest.mark.parametrize("accelerators", [1, 2, 8])
 @pytest.mark.parametrize("seed", range(4))
-def test_sound_jobs_beside_a_crashing_one_are_done(seed, accelerators):
+def test_other_jobs_complete_despite_a_crashing_one(seed, accelerators):
     async def script(site):
         crashing = job("crashing", 1, accelerators)
         await site.submit(crashing, [2.0], crashing=[CRASHING])
@@ -75,7 +75,7 @@
             await site.submit(one, [2.0])
             await trio.sleep(0.5)
 
-    site = play(seed, script)
+    site = run_site(seed, script)
     found = states(site)
     assert found.pop("crashing") == "failed"
     assert set(found.values()) == {"completed"}
@@ -83,13 +83,13 @@
 
 @pytest.mark.parametrize("gang", [False, True])
 @pytest.mark.parametrize("seed", range(4))
-def test_a_job_all_of_whose_tasks_crash_their_workers_is_given_up(seed, gang):
+def test_job_whose_tasks_all_crash_their_workers_fails(seed, gang):
     async def script(site):
         tasks = [model.TaskId("crashing", 0, 0, index) for index in range(12)]
         one = job("crashing", 12, gang=gang)
         await site.submit(one, [2.0], crashing=tasks)
 
-    assert states(play(seed, script)) == {"crashing": "failed"}
+    assert states(run_site(seed, script)) == {"crashing": "failed"}
 
 
 @pytest.mark.parametrize("seed", range(4))
@@ -103,41 +103,41 @@
             await trio.sleep(site.random.uniform(0.0, 2.0))
             site.groups.lead(site.random.choice(["vm1", "vm2"]))
 
-    assert states(play(seed, script)) == {"crashing": "failed"}
+    assert states(run_site(seed, script)) == {"crashing": "failed"}
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_workers_that_crash_by_themselves_fail_no_job(seed):
+def test_crashes_without_a_crashing_task_fail_no_job(seed):
     async def script(site):
         for number in range(8):
             await site.submit(job(f"j{number}", 4), [3.0])
-        source = random.Random(seed)
+        rng = random.Random(seed)
         for _ in range(10):
-            await trio.sleep(source.uniform(0.2, 1.0))
+            await trio.sleep(rng.uniform(0.2, 1.0))
             here = [w for w in site.pool.workers.values() if not w.gone]
             if here:
-                source.choice(here).crash()
+                rng.choice(here).crash()
 
-    assert set(states(play(seed, script)).values()) == {"completed"}
+    assert set(states(run_site(seed, script)).values()) == {"completed"}
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_all_troubles_with_crashing_tasks_break_no_rule(seed):
-    source = random.Random(seed)
+def test_all_faults_with_crashing_tasks_violate_no_invariant(seed):
+    rng = random.Random(seed)
 
     async def script(site):
         async with trio.open_nursery() as nursery:
             kinds = [*troubles.KINDS]
-            nursery.start_soon(troubles.bring, site, source, kinds, 30.0)
+            nursery.start_soon(troubles.inject, site, rng, kinds, 30.0)
             for number in range(15):
                 await site.submit(job(f"j{number}", 4), [2.0])
                 crashing = model.TaskId(f"c{number}", 0, 0, 1)
                 if number % 4 == 0:
-                    one = job(f"c{number}", 3, gang=source.random() < 0.5)
+                    one = job(f"c{number}", 3, gang=rng.random() < 0.5)
                     await site.submit(one, [2.0], crashing=[crashing])
-                await trio.sleep(source.uniform(0.5, 2.0))
+                await trio.sleep(rng.uniform(0.5, 2.0))
 
-    found = states(play(seed, script))
+    found = states(run_site(seed, script))
     assert set(found.values()) <= {"completed", "failed"}
     for job_id, state in found.items():
         assert (state == "failed") <= (job_id[0] == "c"), job_id
--- a/laburnumsill/emulator/tests/test_drawn.py
+++ b/laburnumsill/emulator/tests/test_drawn.py
@@ -1,4 +1,4 @@
-"""Sites drawn by seed."""
+"""Random sites."""
 
 import pytest
 
@@ -30,7 +30,7 @@
             assert needs.fits_in(shape.capacity)
 
 
-def test_sites_differ_in_what_is_scarce_and_in_size():
+def test_sites_differ_in_scarce_resource_and_size():
     shapes = [drawn.site(seed) for seed in SEEDS]
     assert {scarcest(shape.kinds[0], shape.capacity) for shape in shapes} == {
         "cores",
@@ -49,14 +49,14 @@
     assert results[0].broken == []
 
 
-def test_a_drawn_site_is_played_from_the_command_line(capsys):
+def test_command_line_runs_a_drawn_site(capsys):
     main.Emulator().days(
         count=1, site="drawn", site_seed=5, load=0.1, output="json"
     )
     assert '"broken": 0' in capsys.readouterr().out
 
 
-def test_the_third_known_site_has_scarce_memory():
+def test_memory_is_scarce_on_the_site_further():
     renewal = loads.FURTHER.kinds[0]
     assert 2 * renewal.memory_mb > loads.FURTHER.capacity.memory_mb
     assert renewal.cpu_millis * 2 < loads.FURTHER.capacity.cpu_millis
--- a/laburnumsill/emulator/tests/test_main.py
+++ b/laburnumsill/emulator/tests/test_main.py
@@ -18,7 +18,7 @@
     monkeypatch.setattr(days, "DAY_S", 6.0)
 
 
-def test_a_day_says_what_became_of_its_jobs(capsys):
+def test_day_prints_the_states_of_its_jobs(capsys):
     main.Emulator().day(seed=3, site="fingal", trouble="lost,crash")
     text = capsys.readouterr().out
     assert "state=completed" in text
@@ -43,14 +43,14 @@
         ({"count": 0}, "0"),
     ],
 )
-def test_arguments_that_make_no_sense_are_refused(arguments, named, capsys):
+def test_invalid_arguments_are_refused(arguments, named, capsys):
     with pytest.raises(SystemExit) as raised:
         main.Emulator().days(**arguments)
     assert raised.value.code == main.BAD_ARGUMENT
     assert named in capsys.readouterr().err
 
 
-def test_a_broken_rule_ends_the_program_with_a_status(monkeypatch, capsys):
+def test_violated_invariant_sets_the_exit_status(monkeypatch, capsys):
     def broken(day):
         return days.Result({}, {}, 0.0, 0.0, {}, [f"TWICE {day.seed}"])
 
@@ -61,7 +61,7 @@
     assert "broken: seed 1: TWICE 1" in capsys.readouterr().out
 
 
-def test_a_wide_step_counts_in_waves():
+def test_wide_step_gets_several_waves():
     shape = loads.FINGAL
     narrow = model.Step(12, model.Resources(accelerators=4))
     wide = model.Step(13, model.Resources(accelerators=4))
@@ -70,10 +70,10 @@
 
 
 def test_a_seed_repeats_a_day_in_another_process():
-    """Sets of names have another order in each process.
+    """The order of a set of strings differs between processes.
 
-    Workers that were asked in the order of a set had other answers lost, so
-    that two plays of one seed earned 0.698 and 0.684.
+    If workers are queried in the order of a set, the emulation loses other
+    answers: two runs of one seed earned 0.698 and 0.684.
     """
     lines = []
     for hash_seed in "12":
--- a/laburnumsill/emulator/tests/test_oracle.py
+++ b/laburnumsill/emulator/tests/test_oracle.py
@@ -1,4 +1,4 @@
-"""What the oracle lets pass, and what it does not."""
+"""Invariants that the oracle checks, and their exceptions."""
 
 import pytest
 
@@ -11,24 +11,28 @@
 WORKER = model.Worker("w", "pool", "w", "d", model.Resources(8000, 8000, 8))
 
 
-@pytest.mark.parametrize("lapsed", [False, True])
-def test_a_done_task_may_start_again_only_if_its_lease_ran_out(lapsed):
-    """A cut lasts longer than a lease; the end is read when it heals."""
+@pytest.mark.parametrize("after_expiry", [False, True])
+def test_done_task_may_restart_only_after_its_lease_expired(after_expiry):
+    """The end is read after the worker was unreachable for a lease."""
     oracle = oracles.Oracle()
     oracle.submitted(JOB)
-    oracle.started(model.RunId(TASK, 1), WORKER, 1.0, late=False)
-    oracle.ended(model.RunId(TASK, 1), "w", done=True)
-    oracle.noted(model.RunId(TASK, 1), "done", gang=False, lapsed=lapsed)
-    oracle.started(model.RunId(TASK, 2), WORKER, 15.0, late=False)
-    assert bool(oracle.broken) is not lapsed
+    oracle.check_start(model.RunId(TASK, 1), WORKER, 1.0, late=False)
+    oracle.record_end(model.RunId(TASK, 1), "w", done=True)
+    oracle.record_acknowledged_end(
+        model.RunId(TASK, 1), "done", gang=False, after_expiry=after_expiry
+    )
+    oracle.check_start(model.RunId(TASK, 2), WORKER, 15.0, late=False)
+    assert bool(oracle.broken) is not after_expiry
 
 
-def test_two_runs_at_one_time_are_broken_whatever_lapsed():
+def test_simultaneous_runs_are_a_violation_even_after_expiry():
     oracle = oracles.Oracle()
     oracle.submitted(JOB)
-    oracle.started(model.RunId(TASK, 1), WORKER, 1.0, late=False)
-    oracle.noted(model.RunId(TASK, 1), "done", gang=False, lapsed=True)
-    oracle.started(model.RunId(TASK, 2), WORKER, 2.0, late=False)
+    oracle.check_start(model.RunId(TASK, 1), WORKER, 1.0, late=False)
+    oracle.record_acknowledged_end(
+        model.RunId(TASK, 1), "done", gang=False, after_expiry=True
+    )
+    oracle.check_start(model.RunId(TASK, 2), WORKER, 2.0, late=False)
     assert len(oracle.broken) == 1
 
 
@@ -38,6 +42,6 @@
     for number in range(1, 7):
         assert not oracle.broken
         run = model.RunId(TASK, number)
-        oracle.started(run, WORKER, float(number), late=False)
-        oracle.crashed(run, "w")
+        oracle.check_start(run, WORKER, float(number), late=False)
+        oracle.record_crash(run, "w")
     assert oracle.broken == ["6.000 BUDGET j.0.0.0#6 after 5 crashes"]
--- a/laburnumsill/emulator/tests/test_planning_share.py
+++ b/laburnumsill/emulator/tests/test_planning_share.py
@@ -1,4 +1,4 @@
-"""How much of the leader's time plans take when each takes long."""
+"""Limit on the leader's share of time spent on slow plans."""
 
 import trio
 import trio.testing
@@ -8,22 +8,22 @@
 from laburnumsill.emulator import site as sites
 
 PLAN_S = 0.02
-"""What a plan of a large site takes here."""
+"""Duration of a plan, as on a large site."""
 
 WATCHED_S = 3.0
 
 
 def test_plans_leave_most_of_the_time_to_commits_and_reports(monkeypatch):
-    """With an event at any moment, plans followed one upon the other."""
+    """Events that arrive continuously must not cause back-to-back plans."""
     clock = trio.testing.MockClock(autojump_threshold=0)
     plans = 0
     plan = planner.plan
 
-    def slow_plan(view):
+    def slow_plan(planner_input):
         nonlocal plans
         plans += 1
         clock.jump(PLAN_S)
-        return plan(view)
+        return plan(planner_input)
 
     async def main():
         site = sites.EmulatedSite(1)
--- a/laburnumsill/emulator/tests/test_policy.py
+++ b/laburnumsill/emulator/tests/test_policy.py
@@ -1,4 +1,4 @@
-"""Days without one mechanism of the planner: no rule rests on any of them."""
+"""No invariant depends on any one mechanism of the planner."""
 
 import pytest
 
@@ -11,7 +11,7 @@
 
 
 @pytest.mark.parametrize("name", policies.MECHANISMS)
-def test_a_day_without_a_mechanism_breaks_no_rule(name):
+def test_day_without_a_mechanism_violates_no_invariant(name):
     day = days.Day(
         days.SHAPES["further"],
         SEED,
@@ -23,7 +23,7 @@
     assert result.states.get("completed")
 
 
-def test_a_mechanism_that_does_not_exist_is_refused(capsys):
+def test_unknown_mechanism_is_refused(capsys):
     with pytest.raises(SystemExit) as ended:
         emulator_main.Emulator().day(without="luck")
     assert ended.value.code == emulator_main.BAD_ARGUMENT
--- a/laburnumsill/emulator/tests/test_restarted_workers.py
+++ b/laburnumsill/emulator/tests/test_restarted_workers.py
@@ -1,4 +1,4 @@
-"""Workers that crash and start again under their names."""
+"""Workers that crash and restart under their names."""
 
 import random
 
@@ -12,7 +12,8 @@
 from laburnumsill.emulator import virtual_time
 
 SETTLE_S = 60.0
-FEWEST_CRASHES = 3
+MIN_CRASHES_TO_FAIL = 3
+"""A job may fail once this many workers crashed during runs of a task."""
 
 
 def job(job_id, tasks, **step):
@@ -22,7 +23,7 @@
     return model.Job(job_id, "q", "a", "", (one,), terms)
 
 
-def play(seed, script, racks=2, per_rack=3):
+def run_site(seed, script, racks=2, per_rack=3):
     async def main():
         site = sites.EmulatedSite(seed, racks, per_rack)
         site.keeps_names = True
@@ -46,53 +47,53 @@
     return {outcome.state for outcome in site.outcomes.values()}
 
 
-def crash_some(site, source, count):
+def crash_some(site, rng, count):
     here = [w for w in site.pool.workers.values() if not w.gone]
-    for worker in source.sample(here, min(count, len(here))):
+    for worker in rng.sample(here, min(count, len(here))):
         worker.crash()
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_crashes_again_and_again_lose_and_double_nothing(seed):
-    source = random.Random(seed)
+def test_repeated_crashes_lose_no_job_and_duplicate_no_run(seed):
+    rng = random.Random(seed)
 
     async def script(site):
         for number in range(50):
-            one = job(f"j{number}", source.randint(1, 5), gang=number % 3 == 0)
-            await site.submit(one, [source.uniform(0.3, 2.0)])
+            one = job(f"j{number}", rng.randint(1, 5), gang=number % 3 == 0)
+            await site.submit(one, [rng.uniform(0.3, 2.0)])
             await trio.sleep(0.5)
             if number % 10 == 9:
-                crash_some(site, source, 2)
+                crash_some(site, rng, 2)
 
-    assert states(play(seed, script)) == {"completed"}
+    assert states(run_site(seed, script)) == {"completed"}
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_a_new_leader_and_a_snapshot_know_the_lives_apart(seed):
-    source = random.Random(seed)
+def test_incarnations_stay_distinct_after_failover_and_snapshot(seed):
+    rng = random.Random(seed)
 
     async def script(site):
         for number in range(30):
-            one = job(f"j{number}", source.randint(1, 5))
-            await site.submit(one, [source.uniform(0.5, 3.0)])
+            one = job(f"j{number}", rng.randint(1, 5))
+            await site.submit(one, [rng.uniform(0.5, 3.0)])
             await trio.sleep(0.6)
             if number % 10 == 5:
-                crash_some(site, source, 2)
-                await trio.sleep(source.uniform(0.0, 3.0))
+                crash_some(site, rng, 2)
+                await trio.sleep(rng.uniform(0.0, 3.0))
                 site.groups.lead("")
                 site.ledger.load(site.ledger.dump())
-                await trio.sleep(source.uniform(0.0, 3.0))
-                site.groups.lead(source.choice(["vm1", "vm2"]))
+                await trio.sleep(rng.uniform(0.0, 3.0))
+                site.groups.lead(rng.choice(["vm1", "vm2"]))
 
-    assert states(play(seed, script)) == {"completed"}
+    assert states(run_site(seed, script)) == {"completed"}
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_orders_that_reach_the_next_life_run_nothing_twice(seed):
-    """It starts again so soon that orders for the life before reach it."""
+def test_orders_that_reach_the_successor_start_no_second_run(seed):
+    """Workers restart within 50 ms, so orders for a predecessor reach them."""
 
     async def script(site):
-        site.restart_s = (0.0, 0.05)
+        site.restart_delay_s = (0.0, 0.05)
         site.client.lost_share = 0.5
         for number in range(20):
             await site.submit(job(f"j{number}", 4), [2.0])
@@ -100,24 +101,24 @@
             crash_some(site, site.random, 1)
         site.client.lost_share = 0.0
 
-    site = play(seed, script)
+    site = run_site(seed, script)
     for job_id, outcome in site.outcomes.items():
-        # Three workers crash each second, which may look like a task's fault.
+        # Three workers crash each second, so a task may be blamed for crashes.
         crashes = site.oracle.jobs[job_id].crashes.values()
-        given_up = max(crashes, default=0) >= FEWEST_CRASHES
-        assert outcome.state == "completed" or given_up
+        may_fail = max(crashes, default=0) >= MIN_CRASHES_TO_FAIL
+        assert outcome.state == "completed" or may_fail
 
 
 def one_worker(script):
-    return play(1, script, racks=1, per_rack=1)
+    return run_site(1, script, racks=1, per_rack=1)
 
 
-def test_a_late_announcement_of_an_earlier_life_is_told_by_asking():
-    """Neither its end nor its number of starts is known any more."""
+def test_late_announcement_of_a_predecessor_is_rejected_by_a_probe():
+    """Neither its end nor its incarnation number is recorded any more."""
 
     async def script(site):
-        old = site.pool.lives["w0-0"].worker
-        site.pool.lives["w0-0"].crash()
+        old = site.pool.newest["w0-0"].worker
+        site.pool.newest["w0-0"].crash()
         await trio.sleep(6.0)
         (here,) = site.ledger.workers.values()
         assert here.call_name == old.call_name
@@ -131,13 +132,13 @@
     assert states(one_worker(script)) == {"completed"}
 
 
-def test_a_worker_that_starts_again_elsewhere_is_used_there():
-    """Nothing answers at its former address."""
+def test_worker_that_restarts_at_another_address_is_used_there():
+    """The former address of the worker refuses connections."""
 
     async def script(site):
         site.keeps_names = False
-        site.restart_s = (60.0, 60.0)
-        site.pool.lives["w0-0"].crash()
+        site.restart_delay_s = (60.0, 60.0)
+        site.pool.newest["w0-0"].crash()
         await trio.sleep(1.0)
         site.add_worker("w0-0@7", 0, "elsewhere", "w0-0")
         await trio.sleep(2.0)
@@ -148,9 +149,9 @@
     assert states(one_worker(script)) == {"completed"}
 
 
-def test_a_departure_of_an_earlier_life_does_not_end_the_next():
+def test_departure_of_a_predecessor_does_not_end_the_successor():
     async def script(site):
-        site.pool.lives["w0-0"].crash()
+        site.pool.newest["w0-0"].crash()
         await trio.sleep(6.0)
         known = list(site.ledger.workers)
         await site.intakes["vm1"].leave("w0-0")
@@ -159,9 +160,9 @@
     one_worker(script)
 
 
-def test_a_departure_ends_the_life_that_drains():
+def test_departure_ends_the_draining_incarnation():
     async def script(site):
-        site.pool.lives["w0-0"].crash()
+        site.pool.newest["w0-0"].crash()
         await trio.sleep(6.0)
         (here,) = site.ledger.workers.values()
         leaving = msgspec.structs.replace(here, draining=True)
--- a/laburnumsill/emulator/troubles.py
+++ b/laburnumsill/emulator/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles that come over an emulated site, one after the other."""
+"""Faults that are injected into an emulated site, one after the other."""
 
 import random
 from collections import abc
@@ -9,152 +9,150 @@
 from laburnumsill.emulator import site as sites
 from laburnumsill.emulator import workers as worker_module
 
-LONGEST_PAUSE_S = 5.0
-LONGEST_S = 6.0
-LONGEST_WITHOUT_LEADER_S = 3.0
+MAX_PAUSE_S = 5.0
+MAX_DURATION_S = 6.0
+MAX_WITHOUT_LEADER_S = 3.0
 
 LOST_SHARE = 0.3
-"""Share of the orders that are carried out and not answered."""
+"""Share of the orders that are executed but whose answer is lost."""
 
 LATE_SHARE = 0.2
-"""Share of the orders that are carried out seconds late."""
+"""Share of the orders that are executed seconds late."""
 
 Trouble = abc.Callable[[sites.EmulatedSite, random.Random], abc.Awaitable[None]]
 
 
-async def bring(
+async def inject(
     site: sites.EmulatedSite,
-    source: random.Random,
+    rng: random.Random,
     kinds: abc.Sequence[str],
     until_s: float,
 ) -> None:
-    """Brings troubles at random moments until the loop's time is `until_s`.
+    """Injects faults at random times until the loop's clock is at `until_s`.
 
     Args:
         site: The site.
-        source: Of all that is random.
-        kinds: Names out of `KINDS`.
-        until_s: When to end.
+        rng: Source of all random decisions.
+        kinds: Names from `KINDS`.
+        until_s: Time after which no further fault is injected.
 
     Raises:
         KeyError: There is no such kind.
     """
     while trio.current_time() < until_s:
-        await trio.sleep(source.uniform(1.0, LONGEST_PAUSE_S))
-        await KINDS[source.choice(kinds)](site, source)
+        await trio.sleep(rng.uniform(1.0, MAX_PAUSE_S))
+        await KINDS[rng.choice(kinds)](site, rng)
 
 
-async def _lose_lead(site: sites.EmulatedSite, source: random.Random) -> None:
+async def _lose_leader(site: sites.EmulatedSite, rng: random.Random) -> None:
     site.groups.lead("")
-    await trio.sleep(source.uniform(0.0, LONGEST_WITHOUT_LEADER_S))
-    site.groups.lead(source.choice(list(site.schedulers)))
+    await trio.sleep(rng.uniform(0.0, MAX_WITHOUT_LEADER_S))
+    site.groups.lead(rng.choice(list(site.schedulers)))
 
 
-async def _suspend(site: sites.EmulatedSite, source: random.Random) -> None:
-    """A VM is suspended; if it leads, another one leads meanwhile."""
-    vm = source.choice(list(site.schedulers))
+async def _suspend(site: sites.EmulatedSite, rng: random.Random) -> None:
+    """Suspends a VM; if it leads, another one becomes the leader."""
+    vm = rng.choice(list(site.schedulers))
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(site.groups.suspend, vm, source.uniform(0.5, 12.0))
+        nursery.start_soon(site.groups.suspend, vm, rng.uniform(0.5, 12.0))
         if site.groups.leader == vm:
-            await trio.sleep(source.uniform(0.3, 0.8))
-            others = [one for one in site.schedulers if one != vm]
-            site.groups.lead(source.choice(others))
+            await trio.sleep(rng.uniform(0.3, 0.8))
+            others = [worker for worker in site.schedulers if worker != vm]
+            site.groups.lead(rng.choice(others))
 
 
-async def _lose_answers(
-    site: sites.EmulatedSite, source: random.Random
-) -> None:
+async def _lose_answers(site: sites.EmulatedSite, rng: random.Random) -> None:
     site.client.lost_share = LOST_SHARE
-    await _last(source)
+    await _sleep_while_active(rng)
     site.client.lost_share = 0.0
 
 
-async def _delay_orders(
-    site: sites.EmulatedSite, source: random.Random
-) -> None:
+async def _delay_orders(site: sites.EmulatedSite, rng: random.Random) -> None:
     site.client.late_share = LATE_SHARE
-    await _last(source)
+    await _sleep_while_active(rng)
     site.client.late_share = 0.0
 
 
-async def _cut_off(site: sites.EmulatedSite, source: random.Random) -> None:
-    some = _some_workers(site, source)
-    site.client.cut = {one.worker.worker_id for one in some}
-    await _last(source)
-    await _last(source)
+async def _cut_off(site: sites.EmulatedSite, rng: random.Random) -> None:
+    chosen = _some_workers(site, rng)
+    site.client.cut = {worker.worker.worker_id for worker in chosen}
+    await _sleep_while_active(rng)
+    await _sleep_while_active(rng)
     site.client.cut = set()
 
 
-async def _hang(site: sites.EmulatedSite, source: random.Random) -> None:
-    some = _some_workers(site, source)
-    for one in some:
-        one.behaviour.hangs = True
-    await _last(source)
-    for one in some:
-        one.behaviour.hangs = False
+async def _hang(site: sites.EmulatedSite, rng: random.Random) -> None:
+    chosen = _some_workers(site, rng)
+    for worker in chosen:
+        worker.behaviour.hangs = True
+    await _sleep_while_active(rng)
+    for worker in chosen:
+        worker.behaviour.hangs = False
+
 
+async def _fail(site: sites.EmulatedSite, rng: random.Random) -> None:
+    worker, _ = _some_workers(site, rng)
+    worker.behaviour.fails = True
+    await _sleep_while_active(rng)
+    worker.behaviour.fails = False
 
-async def _fail(site: sites.EmulatedSite, source: random.Random) -> None:
-    one, _ = _some_workers(site, source)
-    one.behaviour.fails = True
-    await _last(source)
-    one.behaviour.fails = False
 
+async def _crash(site: sites.EmulatedSite, rng: random.Random) -> None:
+    """Replaces a worker by a successor at the same address.
 
-async def _crash(site: sites.EmulatedSite, source: random.Random) -> None:
-    """A worker crashes, and its successor has its address."""
-    gone, _ = _some_workers(site, source)
-    if gone.gone:
+    An announcement of the replaced incarnation arrives late.
+    """
+    replaced, _ = _some_workers(site, rng)
+    if replaced.gone:
         return
-    gone.vanish()
-    worker = gone.worker
+    replaced.vanish()
+    worker = replaced.worker
     rack = int(worker.rack[1:])
     site.add_worker(f"{worker.worker_id}x", rack, worker.address)
-    await _last(source)
-    # An announcement of the crashed one was held up until now.
+    await _sleep_while_active(rng)
     site.announce(worker, 1_000)
 
 
-async def _restart(site: sites.EmulatedSite, source: random.Random) -> None:
-    """Some workers crash and start again under their names."""
+async def _restart(site: sites.EmulatedSite, rng: random.Random) -> None:
+    """Crashes two workers, which restart under their names."""
     site.keeps_names = True
-    for one in _some_workers(site, source):
-        if not one.gone:
-            one.crash()
-            await trio.sleep(source.uniform(0.0, 1.0))
-    await _last(source)
-
-
-async def _shrink(site: sites.EmulatedSite, source: random.Random) -> None:
-    """Some workers have less room for a while, some of them none."""
-    some = _some_workers(site, source)
-    for one in some:
-        before = one.worker.capacity
-        share = source.choice((0.0, 0.25, 0.5, 0.75))
-        one.resize(
+    for worker in _some_workers(site, rng):
+        if not worker.gone:
+            worker.crash()
+            await trio.sleep(rng.uniform(0.0, 1.0))
+    await _sleep_while_active(rng)
+
+
+async def _shrink(site: sites.EmulatedSite, rng: random.Random) -> None:
+    """Reduces the capacity of two workers for a while, possibly to zero."""
+    chosen = _some_workers(site, rng)
+    for worker in chosen:
+        before = worker.worker.capacity
+        share = rng.choice((0.0, 0.25, 0.5, 0.75))
+        worker.resize(
             model.Resources(
                 int(share * before.cpu_millis),
                 int(share * before.memory_mb),
                 int(share * before.accelerators),
             )
         )
-    await _last(source)
-    for one in some:
-        one.resize(site.capacity)
+    await _sleep_while_active(rng)
+    for worker in chosen:
+        worker.resize(site.capacity)
 
 
 def _some_workers(
-    site: sites.EmulatedSite, source: random.Random
+    site: sites.EmulatedSite, rng: random.Random
 ) -> list[worker_module.EmulatedWorker]:
-    return source.sample(list(site.pool.workers.values()), k=2)
+    return rng.sample(list(site.pool.workers.values()), k=2)
 
 
-async def _last(source: random.Random) -> None:
-    await trio.sleep(source.uniform(1.0, LONGEST_S))
+async def _sleep_while_active(rng: random.Random) -> None:
+    await trio.sleep(rng.uniform(1.0, MAX_DURATION_S))
 
 
 KINDS: dict[str, Trouble] = {
-    "lead": _lose_lead,
+    "lead": _lose_leader,
     "lost": _lose_answers,
     "late": _delay_orders,
     "cut": _cut_off,
@@ -165,9 +163,11 @@
     "suspend": _suspend,
     "restart": _restart,
 }
-"""What may come: the lead is lost, answers are lost, orders come late; workers
-are cut off, hang, fail all that they start, crash, or have less room; a VM is
-suspended; workers start again under their names."""
-
-FIRST_KINDS = ("lead", "lost", "late", "cut", "hang", "fail", "crash")
-"""What older seeds draw from; a new kind would make other days of them."""
+"""The faults by name: the leader is lost; answers to orders are lost; orders
+are executed late; workers are unreachable, hang, fail their tasks, are replaced
+at their address, or have less capacity; a VM is suspended; workers crash and
+restart under their names."""
+
+BASE_KINDS = ("lead", "lost", "late", "cut", "hang", "fail", "crash")
+"""A fixed selection of `KINDS` for tests by seed: adding a kind changes the
+faults that a seed injects."""
--- a/laburnumsill/emulator/unreliable_client.py
+++ b/laburnumsill/emulator/unreliable_client.py
@@ -1,4 +1,4 @@
-"""Brings orders to emulated workers, or loses, delays or repeats them."""
+"""A worker client whose orders may be lost or delayed."""
 
 import random
 from collections import abc
@@ -12,22 +12,24 @@
 
 
 class UnreliableClient(worker_client.WorkerClient):
-    """Brings orders to emulated workers, or loses, delays, repeats them.
+    """Sends orders to emulated workers, with injected faults.
 
     Attributes:
-        lost_share: Share of the orders that are carried out and not answered.
-        late_share: Share that is carried out 2 to 12 s later, unanswered.
-        cut: Workers that cannot be reached.
+        lost_share: Share of the orders that are executed but whose answer is
+            lost.
+        late_share: Share of the orders that are executed 2 to 12 s later and
+            never answered.
+        cut: Ids of unreachable workers.
     """
 
     def __init__(
-        self, pool: worker_module.WorkerPool, source: random.Random
+        self, pool: worker_module.WorkerPool, rng: random.Random
     ) -> None:
         self.lost_share = 0.0
         self.late_share = 0.0
         self.cut: set[str] = set()
         self._pool = pool
-        self._random = source
+        self._random = rng
         self._nursery: trio.Nursery | None = None
 
     async def run(
@@ -35,7 +37,7 @@
         *,
         task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Carries out late orders until cancelled."""
+        """Executes delayed orders until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             task_status.started()
@@ -48,12 +50,12 @@
         deadline: float,
     ) -> worker_client.Answer:
         """Starts a run, see the base class."""
-        target = await self._reach(worker, deadline)
+        target = await self._connect(worker, deadline)
 
-        def carry_out(late: bool) -> None:
+        def execute(late: bool) -> None:
             target.start(order, late)
 
-        await self._order(carry_out, deadline)
+        await self._deliver(execute, deadline)
         return worker_client.Answer(target.clock_ms)
 
     async def stop(
@@ -64,8 +66,8 @@
         deadline: float,
     ) -> worker_client.Answer:
         """Stops a run, see the base class."""
-        target = await self._reach(worker, deadline)
-        await self._order(lambda _: target.stop(run, fence), deadline)
+        target = await self._connect(worker, deadline)
+        await self._deliver(lambda _: target.stop(run, fence), deadline)
         return worker_client.Answer(target.clock_ms)
 
     async def report(
@@ -75,52 +77,50 @@
         deadline: float,
     ) -> worker_client.Report:
         """Asks for a report, see the base class."""
-        target = await self._reach(worker, deadline)
+        target = await self._connect(worker, deadline)
         report = await target.report(order)
         if target.worker.worker_id != worker.worker_id:
             raise worker_client.IncarnationReplacedError(worker.worker_id)
         if target.is_down:
             raise worker_client.NoAnswerError("disconnected")
         if worker.worker_id in self.cut:
-            await self._no_answer(deadline)
+            await self._time_out(deadline)
         if self._random.random() < self.lost_share:
-            await self._no_answer(deadline)
+            await self._time_out(deadline)
         await trio.sleep(0.001)
         return report
 
-    async def _reach(
+    async def _connect(
         self, worker: model.Worker, deadline: float
     ) -> worker_module.EmulatedWorker:
         await trio.sleep(self._random.uniform(0.0005, 0.002))
-        target = self._pool.lives.get(worker.call_name)
+        target = self._pool.newest.get(worker.call_name)
         if worker.worker_id in self.cut or target is None:
-            await self._no_answer(deadline)
+            await self._time_out(deadline)
         assert target is not None
         if target.is_down:
             raise worker_client.NoAnswerError("connection refused")
         return target
 
-    async def _order(
-        self, carry_out: abc.Callable[[bool], None], deadline: float
+    async def _deliver(
+        self, execute: abc.Callable[[bool], None], deadline: float
     ) -> None:
-        luck = self._random.random()
-        if luck < self.late_share and self._nursery is not None:
-            self._nursery.start_soon(self._carry_out_late, carry_out)
-            await self._no_answer(deadline)
-        carry_out(False)
-        if luck < self.late_share + self.lost_share:
-            await self._no_answer(deadline)
+        draw = self._random.random()
+        if draw < self.late_share and self._nursery is not None:
+            self._nursery.start_soon(self._execute_late, execute)
+            await self._time_out(deadline)
+        execute(False)
+        if draw < self.late_share + self.lost_share:
+            await self._time_out(deadline)
         await trio.sleep(0.001)
 
-    async def _carry_out_late(
-        self, carry_out: abc.Callable[[bool], None]
-    ) -> None:
+    async def _execute_late(self, execute: abc.Callable[[bool], None]) -> None:
         await trio.sleep(self._random.uniform(2.0, 12.0))
         try:
-            carry_out(True)
+            execute(True)
         except errors.LaburnumsillError:
-            return  # refused: nobody waits for the answer
+            return  # refused; no caller waits for the answer
 
-    async def _no_answer(self, deadline: float) -> None:
+    async def _time_out(self, deadline: float) -> None:
         await trio.sleep(max(0.0, deadline - trio.current_time()))
         raise worker_client.NoAnswerError("lost")
--- a/laburnumsill/emulator/virtual_time.py
+++ b/laburnumsill/emulator/virtual_time.py
@@ -1,4 +1,4 @@
-"""Runs an emulation in virtual time, the same way for the same seed."""
+"""Runs an emulation in virtual time, reproducibly for a given seed."""
 
 import typing
 from collections import abc
@@ -13,15 +13,17 @@
 def run(
     seed: int, main: abc.Callable[..., abc.Awaitable[T]], *args: object
 ) -> T:
-    """Returns what `main` returns; time passes whenever all tasks wait.
+    """Runs `main` on a virtual clock and returns its result.
+
+    The clock jumps to the next deadline whenever all tasks are blocked.
 
     Args:
-        seed: Of the order in which tasks run that can run. Trio shuffles
-            them, and a seed is to repeat its day, so its shuffle is seeded.
+        seed: Seed of the order in which runnable tasks run. Trio shuffles
+            them, so a run is reproducible only if the shuffle is seeded.
         main: The emulation.
-        *args: For `main`.
+        *args: Arguments of `main`.
     """
-    # Trio calls it final; its own tests set it like this.
+    # The name is declared Final; the tests of Trio set it in the same way.
     trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     trio_run._r.seed(seed)
     clock = trio.testing.MockClock(autojump_threshold=0)
