--- a/laburnumsill/daemon/make_up_sync.py
+++ b/laburnumsill/daemon/make_up_sync.py
@@ -10,7 +10,7 @@
 from laburnumsill.core import logs
 from laburnumsill.core import replication
 from laburnumsill.core import topology
-from laburnumsill.state import make_up
+from laburnumsill.state import memberships
 
 INTERVAL_S = 1.0
 """How often the root group's leader tells every VM the make-up."""
@@ -21,7 +21,7 @@
 class MakeUpNotice:
     """The make-up, as the root group's leader has applied it."""
 
-    make_up: make_up.MakeUp
+    make_up: memberships.MakeUp
 
 
 class MakeUpSync:
@@ -44,13 +44,13 @@
         self._groups = groups
         self._peers = peers
         self._set_make_up = set_make_up
-        self._present = make_up.MakeUp()
+        self._present = memberships.MakeUp()
         peers.on_notice(MakeUpNotice, self._on_notice)
 
     @property
     def voters(self) -> dict[str, list[str]]:
         """The voters of every group, as far as this VM has heard."""
-        return self._present.over(self._first)
+        return self._present.voters_by_group(self._first)
 
     @property
     def revision(self) -> int:
@@ -68,7 +68,7 @@
         machine = self._groups.local(ids.ROOT_GROUP)
         if machine is None:
             return
-        self._follow(machine.component("make-up").make_up)
+        self._follow(machine.component("make-up").membership)
         if not self._present.revision:
             return
         for vm_id in self._others:
@@ -77,7 +77,7 @@
     def _on_notice(self, notice: MakeUpNotice) -> None:
         self._follow(notice.make_up)
 
-    def _follow(self, newer: make_up.MakeUp) -> None:
+    def _follow(self, newer: memberships.MakeUp) -> None:
         if newer.revision <= self._present.revision:
             return
         self._present = newer
--- a/laburnumsill/daemon/replacement.py
+++ b/laburnumsill/daemon/replacement.py
@@ -12,7 +12,7 @@
 from laburnumsill.core import replication
 from laburnumsill.core import topology
 from laburnumsill.daemon import make_up_sync
-from laburnumsill.state import make_up
+from laburnumsill.state import memberships
 
 CHECK_INTERVAL_S = 1.0
 CHANGE_TIMEOUT_S = 5.0
@@ -141,7 +141,7 @@
         logs.decision("replace", group=group, old=old, new=new)
         await self._groups.propose(
             ids.ROOT_GROUP,
-            make_up.ChangeMakeUp(
+            memberships.ChangeMakeUp(
                 group, tuple(sorted(voters)), changed, f"{old} is replaced"
             ),
             self._clock.monotonic() + CHANGE_TIMEOUT_S,
--- a/laburnumsill/state/machines.py
+++ b/laburnumsill/state/machines.py
@@ -6,7 +6,7 @@
 from laburnumsill.state import configuration
 from laburnumsill.state import durable
 from laburnumsill.state import jobs
-from laburnumsill.state import make_up
+from laburnumsill.state import memberships
 
 _DOMAIN_PREFIX = ids.domain_group("")
 
@@ -14,7 +14,7 @@
 def root_machine() -> replication.StateMachine:
     """Returns an empty root machine: configuration and group membership."""
     return replication.StateMachine(
-        configuration.ConfigurationLog(), make_up.GroupMembership()
+        configuration.ConfigurationLog(), memberships.GroupMembership()
     )
 
 
--- a/laburnumsill/state/make_up.py
+++ b/laburnumsill/state/memberships.py
@@ -60,21 +60,22 @@
         default_factory=dict
     )
 
-    def over(
-        self, first: abc.Mapping[str, abc.Sequence[str]]
+    def voters_by_group(
+        self, initial_voters: abc.Mapping[str, abc.Sequence[str]]
     ) -> dict[str, list[str]]:
         """Returns the present voters of every group.
 
         Args:
-            first: The initial voters of every group.
+            initial_voters: The initial voters of every group.
 
         Examples:
-            >>> MakeUp(1, {"g": ("c",)}).over({"g": ["a"], "h": ["b"]})
+            >>> changes = MakeUp(1, {"g": ("c",)})
+            >>> changes.voters_by_group({"g": ["a"], "h": ["b"]})
             {'g': ['c'], 'h': ['b']}
         """
         return {
             group: list(self.changed.get(group, voters))
-            for group, voters in first.items()
+            for group, voters in initial_voters.items()
         }
 
 
@@ -82,7 +83,7 @@
     """Component of the root machine that holds the groups' membership."""
 
     def __init__(self) -> None:
-        self._make_up = MakeUp()
+        self._membership = MakeUp()
 
     @property
     def name(self) -> str:
@@ -95,31 +96,31 @@
 
     def queries(self) -> dict[type, replication.Handler]:
         """See the base class."""
-        return {GetMakeUp: lambda query: self._make_up}
+        return {GetMakeUp: lambda query: self._membership}
 
     def dump(self) -> bytes:
         """See the base class."""
-        return codec.encode(self._make_up)
+        return codec.encode(self._membership)
 
     def load(self, raw: bytes) -> None:
         """See the base class."""
-        self._make_up = codec.decode(raw)
+        self._membership = codec.decode(raw)
 
     @property
-    def make_up(self) -> MakeUp:
+    def membership(self) -> MakeUp:
         """All changes since the initial membership."""
-        return self._make_up
+        return self._membership
 
     def _change(self, command: ChangeMakeUp) -> MakeUp:
         voters = tuple(sorted(command.voters))
-        present = self._make_up.changed.get(command.group)
+        present = self._membership.changed.get(command.group)
         if present == voters:
-            return self._make_up
+            return self._membership
         if present is not None and present != command.expected:
             raise MakeUpChangedError(
                 f"{command.group} has the voters {', '.join(present)}",
                 group=command.group,
             )
-        changed = {**self._make_up.changed, command.group: voters}
-        self._make_up = MakeUp(self._make_up.revision + 1, changed)
-        return self._make_up
+        changed = {**self._membership.changed, command.group: voters}
+        self._membership = MakeUp(self._membership.revision + 1, changed)
+        return self._membership
