--- a/laburnumsill/jobs/claims.py
+++ b/laburnumsill/jobs/claims.py
@@ -244,7 +244,7 @@
             chunks += used
         if len(chunks) < wanted:
             return None
-        if bind and not self._book.cells.allows(self._job.spec.account, bind):
+        if bind and not self._book.cells.can_bind(self._job.spec.account, bind):
             return None
         room = eviction.settle(self._book, self._job, chunks, costs)
         return Claim(room, tuple(bind)) if room is not None else None
--- a/laburnumsill/jobs/fit.py
+++ b/laburnumsill/jobs/fit.py
@@ -42,7 +42,7 @@
         yield from pool.racks_with_cores(spec.tasks, spec.cores)
         return
     if spec.tasks == 1:
-        yield from pool.broken_racks_with(spec.accelerators)
+        yield from pool.partly_used_racks_with(spec.accelerators)
     yield from pool.racks_with(spec.tasks, spec.accelerators)
 
 
--- a/laburnumsill/jobs/planner.py
+++ b/laburnumsill/jobs/planner.py
@@ -265,7 +265,7 @@
         for shape in line.shapes & shapes
         if (job_id := line.first(shape)) is not None
     ]
-    found.sort(key=jobs_queue.order_of)
+    found.sort(key=jobs_queue.sort_key)
     return found
 
 
--- a/laburnumsill/state/cells.py
+++ b/laburnumsill/state/cells.py
@@ -197,7 +197,7 @@
                 self._remove_cell(account, cell)
             raise
 
-    def allows(self, account: str, cells: abc.Sequence[Cell]) -> bool:
+    def can_bind(self, account: str, cells: abc.Sequence[Cell]) -> bool:
         """Returns whether `bind` would accept the cells."""
         try:
             self.bind(account, cells)
--- a/laburnumsill/state/jobs_book.py
+++ b/laburnumsill/state/jobs_book.py
@@ -229,7 +229,7 @@
 
     def worker_changed(self, worker_id: str) -> None:
         """Updates the derived state after a change of a worker's record."""
-        self.pool.changed(worker_id)
+        self.pool.reindex(worker_id)
         self.cells.refresh(self.pool.workers[worker_id].announced.rack)
 
     def lose_worker(self, worker_id: str) -> None:
--- a/laburnumsill/state/jobs_pool.py
+++ b/laburnumsill/state/jobs_pool.py
@@ -137,7 +137,7 @@
         rack.accelerators += own.accelerators
         self.accelerators += own.accelerators
         self.cores += own.cores
-        self.changed(own.worker_id)
+        self.reindex(own.worker_id)
         self.freed += 1
 
     def remove(self, worker_id: str) -> None:
@@ -154,7 +154,7 @@
         if not rack.workers:
             del self.racks[rack.name]
 
-    def changed(self, worker_id: str) -> None:
+    def reindex(self, worker_id: str) -> None:
         """Updates the indexes after a change of a worker's record."""
         self._reindex(self.racks[self.workers[worker_id].announced.rack])
 
@@ -235,7 +235,7 @@
             self._slots[_size_index(TRACKED_SIZES, size)], count
         )
 
-    def broken_racks_with(self, size: int) -> abc.Iterator[Rack]:
+    def partly_used_racks_with(self, size: int) -> abc.Iterator[Rack]:
         """Yields racks with a free slot on a partly used worker.
 
         Racks with the fewest such slots come first.
--- a/laburnumsill/state/jobs_queue.py
+++ b/laburnumsill/state/jobs_queue.py
@@ -15,11 +15,11 @@
 Shape = tuple[int, int, int, int, str]
 """Number of tasks; accelerators, cores and memory of a task; adjacency."""
 
-LARGE = 8
+LARGE_JOB_ACCELERATORS = 8
 """Accelerators from which a borrowing job counts as large: it seldom fits
-into the free slots, so that running jobs are drained for it."""
+into the free slots, so that slots are reserved for it."""
 
-Order = tuple[bool, int, str]
+SortKey = tuple[bool, int, str]
 """Sort key of queued jobs: not urgent, sequence of submission, job id."""
 
 
@@ -35,15 +35,18 @@
     )
 
 
-def order_of(job: placements.Job) -> Order:
+def sort_key(job: placements.Job) -> SortKey:
     """Returns a job's sort key among the jobs of its shape."""
     return not job.spec.urgent, job.sequence, job.job_id
 
 
 def is_large(job: placements.Job) -> bool:
-    """Returns whether a job borrows at least `LARGE` accelerators."""
+    """Returns whether a job is a large borrowing job."""
     spec = job.spec
-    return not spec.guaranteed and spec.total_accelerators >= LARGE
+    return (
+        not spec.guaranteed
+        and spec.total_accelerators >= LARGE_JOB_ACCELERATORS
+    )
 
 
 class Line:
@@ -65,7 +68,7 @@
             group = self._shapes[shape] = sortedcontainers.SortedList()
         else:
             self._heads.remove((group[0], shape))
-        group.add(order_of(job))
+        group.add(sort_key(job))
         self._heads.add((group[0], shape))
         self._length += 1
 
@@ -78,7 +81,7 @@
         shape = shape_of(job)
         group = self._shapes[shape]
         self._heads.remove((group[0], shape))
-        group.remove(order_of(job))
+        group.remove(sort_key(job))
         if group:
             self._heads.add((group[0], shape))
         else:
--- a/laburnumsill/state/tests/test_cells.py
+++ b/laburnumsill/state/tests/test_cells.py
@@ -60,7 +60,7 @@
     with pytest.raises(cells.GuaranteeError, match="without whole cells"):
         allocator.bind("fingal", [Cell(Level.RACK, "r1")])
     assert not allocator.bound
-    assert allocator.allows("fingal", [Cell(Level.RACK, "r0")])
+    assert allocator.can_bind("fingal", [Cell(Level.RACK, "r0")])
     allocator = new_allocator(
         (4, 1), (4, 4), tana=(1, 0, 0, 0), fingal=(0, 0, 0, 1)
     )
@@ -70,8 +70,10 @@
         (4, 4), (1,), tana=(1, 0, 0, 0), fingal=(0, 0, 0, 1)
     )
     big = Cell(Level.RACK, "r0")
-    assert allocator.allows("fingal", [big])
-    assert allocator.allows("tana", [Cell(Level.ACCELERATOR, "r1", "r1w0", 1)])
+    assert allocator.can_bind("fingal", [big])
+    assert allocator.can_bind(
+        "tana", [Cell(Level.ACCELERATOR, "r1", "r1w0", 1)]
+    )
 
 
 def test_cells_must_be_aligned_and_inside_their_worker():
