--- a/laburnumsill/api/members.py
+++ b/laburnumsill/api/members.py
@@ -266,7 +266,7 @@
 
     def _known(self, kind: str) -> list[dict[str, object]]:
         found = sorted(
-            self._table.known(kind),
+            self._table.known_members(kind),
             key=lambda known: entries.member_id(known.member),
         )
         return [
--- a/laburnumsill/members/intake.py
+++ b/laburnumsill/members/intake.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Announced:
+class AnnouncementResult:
     """Result of an announcement.
 
     Attributes:
@@ -63,7 +63,7 @@
         self._policy = policy
         self._random = random.Random(local_vm)
 
-    def announce(self, member: entries.Member) -> Announced:
+    def announce(self, member: entries.Member) -> AnnouncementResult:
         """Merges and forwards an announcement that a member sent to this VM.
 
         Raises:
@@ -83,7 +83,7 @@
         if known is not None:
             _check_incarnation(known, member.incarnation)
             if entries.version(member, False) <= known.version:
-                return Announced(False, next_at)
+                return AnnouncementResult(False, next_at)
         merged = self._store.merge(member, False)
         entry = self._store.get(key)
         if entry is None:
@@ -93,7 +93,7 @@
             self._forward_row(entry, watchers)
         else:
             self._forward_heartbeat(entry, watchers)
-        return Announced(True, next_at)
+        return AnnouncementResult(True, next_at)
 
     def leave(self, kind: str, member_id: str, incarnation: str) -> None:
         """Records that an incarnation of a member has left for good.
--- a/laburnumsill/members/table.py
+++ b/laburnumsill/members/table.py
@@ -127,7 +127,7 @@
         """Returns the usable workers of a failure domain."""
         return self._usable_members(entries.WORKER, domain)
 
-    def known(self, kind: str) -> list[KnownMember]:
+    def known_members(self, kind: str) -> list[KnownMember]:
         """Returns all present members of a kind, usable or not.
 
         Args:
@@ -156,7 +156,7 @@
 
     async def announce_server(
         self, server: members.BackendServer
-    ) -> intake.Announced:
+    ) -> intake.AnnouncementResult:
         """Processes an announcement of a backend server.
 
         Raises:
@@ -172,7 +172,9 @@
             )
         return self._announce(server)
 
-    async def announce_worker(self, worker: members.Worker) -> intake.Announced:
+    async def announce_worker(
+        self, worker: members.Worker
+    ) -> intake.AnnouncementResult:
         """Processes an announcement of a worker.
 
         Raises:
@@ -216,7 +218,7 @@
             self._syncer.schedule_probes()
         self._last_tick = now
         self._update_reachable()
-        self._watcher.expire()
+        self._watcher.check_expiries()
         self._syncer.send_probes(self._reachability.by_domain)
         if now >= self._next_cleanup_at:
             self._next_cleanup_at = now + CLEANUP_INTERVAL_S
@@ -253,7 +255,7 @@
             )
             self._view_cache.clear()
 
-    def _announce(self, member: entries.Member) -> intake.Announced:
+    def _announce(self, member: entries.Member) -> intake.AnnouncementResult:
         self._update_reachable()
         self._metrics.count("announcements_total", kind=entries.kind_of(member))
         return self._intake.announce(member)
--- a/laburnumsill/members/tests/cluster.py
+++ b/laburnumsill/members/tests/cluster.py
@@ -314,7 +314,7 @@
     def _vm(self) -> str:
         return self.vms[self._turn % len(self.vms)]
 
-    def announce(self, vm: str) -> intake.Announced | None:
+    def announce(self, vm: str) -> intake.AnnouncementResult | None:
         if vm not in self.cluster.alive():
             return None
         self.sequence += 1
--- a/laburnumsill/members/tests/test_convergence.py
+++ b/laburnumsill/members/tests/test_convergence.py
@@ -143,7 +143,7 @@
             if member.alive:
                 member.silent_since = now
         for vm in self.cluster.alive():
-            for known in self.cluster.tables[vm].known(entries.SERVER):
+            for known in self.cluster.tables[vm].known_members(entries.SERVER):
                 if not known.usable:
                     continue
                 member = self.members[known.member.server_id]
--- a/laburnumsill/members/tests/test_table.py
+++ b/laburnumsill/members/tests/test_table.py
@@ -337,7 +337,7 @@
     server.incarnation = "00000002"
     cluster.run(1.0)
     for vm in cluster.alive():
-        known = cluster.tables[vm].known(entries.SERVER)
+        known = cluster.tables[vm].known_members(entries.SERVER)
         assert [k.member.domain for k in known] == ["d1"]
 
 
--- a/laburnumsill/members/watching.py
+++ b/laburnumsill/members/watching.py
@@ -113,7 +113,7 @@
                 entry.watched_since = now
                 self._set_expiry(entry, self._expiry(entry))
 
-    def expire(self) -> None:
+    def check_expiries(self) -> None:
         """Suspects expired members and declares unrefuted suspects gone."""
         now = self._clock.monotonic()
         while self._expiry_heap and self._expiry_heap[0][0] <= now:
