--- a/laburnumsill/api/members.py
+++ b/laburnumsill/api/members.py
@@ -272,7 +272,7 @@
 
     def _list_members(self, kind: str) -> list[dict[str, object]]:
         listed = sorted(
-            self._table.known(kind),
+            self._table.known_members(kind),
             key=lambda known: entries.member_id(known.member),
         )
         return [
--- a/laburnumsill/daemon/make_up_sync.py
+++ b/laburnumsill/daemon/make_up_sync.py
@@ -10,7 +10,7 @@
 from laburnumsill.core import logs
 from laburnumsill.core import replication
 from laburnumsill.core import topology
-from laburnumsill.state import make_up
+from laburnumsill.state import memberships
 
 BROADCAST_INTERVAL_S = 1.0
 """Interval at which the root group's leader notifies all VMs."""
@@ -21,7 +21,7 @@
 class MakeUpNotice:
     """The groups' memberships, as the root group's leader has applied them."""
 
-    make_up: make_up.MakeUp
+    make_up: memberships.MakeUp
 
 
 class MembershipSync:
@@ -54,13 +54,13 @@
         self._groups = groups
         self._peers = peers
         self._set_desired_voters = set_desired_voters
-        self._make_up = make_up.MakeUp()
+        self._make_up = memberships.MakeUp()
         peers.on_notice(MakeUpNotice, self._on_notice)
 
     @property
     def voters(self) -> dict[str, list[str]]:
         """The voters of every group, by the newest revision on this VM."""
-        return self._make_up.over(self._initial_groups)
+        return self._make_up.voters_by_group(self._initial_groups)
 
     @property
     def revision(self) -> int:
@@ -78,7 +78,7 @@
         machine = self._groups.local_state_machine(ids.ROOT_GROUP)
         if machine is None:
             return
-        self._update(machine.component("make-up").make_up)
+        self._update(machine.component("make-up").membership)
         if not self._make_up.revision:
             return
         for vm_id in self._others:
@@ -87,7 +87,7 @@
     def _on_notice(self, notice: MakeUpNotice) -> None:
         self._update(notice.make_up)
 
-    def _update(self, newer: make_up.MakeUp) -> None:
+    def _update(self, newer: memberships.MakeUp) -> None:
         if newer.revision <= self._make_up.revision:
             return
         self._make_up = newer
--- a/laburnumsill/jobs/claims.py
+++ b/laburnumsill/jobs/claims.py
@@ -261,7 +261,7 @@
             candidates += used
         if len(candidates) < wanted:
             return None
-        if bind and not self._book.cells.allows(self._job.spec.account, bind):
+        if bind and not self._book.cells.can_bind(self._job.spec.account, bind):
             return None
         plan = eviction.plan_preemption(
             self._book, self._job, candidates, costs
--- a/laburnumsill/jobs/planner.py
+++ b/laburnumsill/jobs/planner.py
@@ -281,7 +281,7 @@
         for shape in account_queue.shapes & shapes
         if (job_id := account_queue.first(shape)) is not None
     ]
-    found.sort(key=jobs_queue.order_of)
+    found.sort(key=jobs_queue.sort_key)
     return found
 
 
