--- a/laburnumsill/consensus/engine.py
+++ b/laburnumsill/consensus/engine.py
@@ -370,9 +370,7 @@
             return leadership
         if leadership.transfer_targets:
             raise self._not_leader()
-        raise NoRoomError(
-            f"too few voters of group {self._replica.group} can write"
-        )
+        raise NoRoomError(f"too many disks of {self._replica.group} are full")
 
     def _check_quorum(self, now: float) -> leader_state.Leadership | None:
         self._replica.now = now
--- a/laburnumsill/consensus/group.py
+++ b/laburnumsill/consensus/group.py
@@ -401,9 +401,7 @@
     def _execute(self, output: types.Output) -> None:
         if output.snapshot is not None:
             self._applier.install(output.snapshot)
-            self._proposals.fail(
-                "a snapshot was installed", output.snapshot.index
-            )
+            self._proposals.fail("a snapshot came", output.snapshot.index)
         change = store.Change(
             output.hard_state, output.snapshot, False, output.entries
         )
@@ -471,7 +469,7 @@
     def _update_leadership(self) -> None:
         """Fails all pending requests when the leadership has ended."""
         if self._leadership.update(self._engine):
-            self._proposals.fail("leadership was lost before the commit")
+            self._proposals.fail("the lead was lost before the commit")
             self._reads.fail_all()
 
     def _snapshot_if_due(self) -> None:
--- a/laburnumsill/consensus/group_waiters.py
+++ b/laburnumsill/consensus/group_waiters.py
@@ -118,7 +118,7 @@
         pending = self._waiting.pop(read_id, None)
         if pending is not None:
             pending[1].fail(
-                errors.NoQuorumError(f"{self._group}: leadership was lost")
+                errors.NoQuorumError(f"{self._group}: the lead was lost")
             )
 
     def fail_all(self) -> None:
--- a/laburnumsill/consensus/host.py
+++ b/laburnumsill/consensus/host.py
@@ -142,7 +142,7 @@
         raw = codec.encode(command)
         if len(raw) > MAX_COMMAND_BYTES:
             raise errors.TooLargeError(
-                f"the command has {len(raw)} bytes, {MAX_COMMAND_BYTES} allowed"
+                f"a command of {len(raw)} bytes, {MAX_COMMAND_BYTES} allowed"
             )
         wall = self._clock.wall_deadline(deadline)
         request = leader_forwarder.LeaderRequest(
@@ -304,9 +304,7 @@
     ) -> forwarded.Outcome:
         waiter = self._hosted(name).propose(raw)
         self._replicas.schedule(name)
-        timeout_error = errors.ProposalLostError(
-            f"{name}: not committed in time"
-        )
+        timeout_error = errors.ProposalLostError(f"{name}: no commit in time")
         try:
             return await waiter.wait(deadline, self._clock, timeout_error)
         except errors.ProposalLostError as error:
@@ -339,7 +337,7 @@
         waiter = self._hosted(name).read(query)
         self._replicas.schedule(name)
         timeout_error = errors.NoQuorumError(
-            f"{name}: the leadership was not confirmed"
+            f"{name}: the lead was not confirmed"
         )
         return await waiter.wait(deadline, self._clock, timeout_error)
 
@@ -380,9 +378,7 @@
             and replica.vm in reachable
         }
         if not progress:
-            raise TransferFailedError(
-                f"{hosted.name}: no other voter is reachable"
-            )
+            raise TransferFailedError(f"{hosted.name}: no other voter is there")
         return max(progress, key=lambda replica: progress[replica]).vm
 
     async def _on_proposal(
--- a/laburnumsill/consensus/remote_groups.py
+++ b/laburnumsill/consensus/remote_groups.py
@@ -96,4 +96,4 @@
 
 
 async def _no_local_replica(group: str, deadline: float) -> forwarded.Outcome:
-    raise engine_errors.NotLeaderError(f"this VM hosts no replica of {group!r}")
+    raise engine_errors.NotLeaderError(f"no replica of {group!r} is here")
--- a/laburnumsill/daemon/configuration_sharing.py
+++ b/laburnumsill/daemon/configuration_sharing.py
@@ -225,9 +225,7 @@
     def _component(self) -> highest_version.HighestVersion:
         machine = self._groups.local_state_machine(self._group)
         if machine is None:
-            raise errors.UnavailableError(
-                "this VM has no replica of the site's group"
-            )
+            raise errors.UnavailableError("no replica of the site is here")
         component: highest_version.HighestVersion = machine.component(
             highest_version.HighestVersion.name
         )
--- a/laburnumsill/daemon/replacement.py
+++ b/laburnumsill/daemon/replacement.py
@@ -12,6 +12,7 @@
 from laburnumsill.core import replication
 from laburnumsill.core import topology
 from laburnumsill.daemon import make_up_sync
+from laburnumsill.state import memberships
 
 CHECK_INTERVAL_S = 1.0
 CHANGE_TIMEOUT_S = 5.0
@@ -144,13 +145,11 @@
         """
         voters = self._membership_sync.voters.get(group)
         if voters is None:
-            raise errors.UnknownNameError(f"unknown group {group!r}")
+            raise errors.UnknownNameError(f"no group {group!r}")
         if old not in voters:
-            raise errors.UnknownNameError(
-                f"{old!r} is not a voter of {group!r}"
-            )
+            raise errors.UnknownNameError(f"{old!r} is no voter of {group!r}")
         if new not in {vm.vm_id for vm in self._vms}:
-            raise errors.UnknownNameError(f"unknown VM {new!r}")
+            raise errors.UnknownNameError(f"no VM {new!r}")
         new_voters = tuple(sorted({*voters, new} - {old}))
         logs.decision("replace", group=group, old=old, new=new)
         await self._groups.propose(
--- a/laburnumsill/requests/accept.py
+++ b/laburnumsill/requests/accept.py
@@ -127,4 +127,4 @@
         return messages.Answer(messages.Outcome.ACCEPTED, 202, headers, body)
     if state is durable.DurableState.SUCCEEDED:
         return messages.Answer(messages.Outcome.ANSWERED, 200, headers, body)
-    raise DurableExpiredError(f"the request ended as {state}", state=str(state))
+    raise DurableExpiredError(f"it ended as {state}", state=str(state))
--- a/laburnumsill/requests/admit.py
+++ b/laburnumsill/requests/admit.py
@@ -162,11 +162,11 @@
         ):
             raise errors.OverloadedError(
                 f"account {request.account!r} has {request.max_in_flight}"
-                " requests in flight on this VM, its limit"
+                " requests in flight here, its most"
             )
         if self._capacity(request.service, 1.0) <= 0:  # bypasses the cache
             raise errors.NoServerError(
-                f"no backend server of {request.service!r} accepts requests"
+                f"no backend server of {request.service!r} can take requests"
             )
 
     def _service_state(self, service: str) -> _ServiceState:
@@ -188,7 +188,7 @@
             return
         rejection = errors.OverloadedError(
             f"{len(queue) - 1} requests of class {request.class_name!r}"
-            " are queued on this VM"
+            " wait here"
         )
         victim = queue.shedding_victim(request.account)
         if victim is None:
--- a/laburnumsill/requests/claim.py
+++ b/laburnumsill/requests/claim.py
@@ -133,9 +133,7 @@
         except (errors.UnavailableError, errors.ProposalLostError) as error:
             raise _unreachable(error) from error
         if self._clock.monotonic() > propose_deadline:
-            raise messages.HomeUnreachableError(
-                "the home group did not answer in time"
-            )
+            raise messages.HomeUnreachableError("the home group was too slow")
         return status
 
     async def _propose(
--- a/laburnumsill/requests/classify.py
+++ b/laburnumsill/requests/classify.py
@@ -136,9 +136,9 @@
     digits = text.removeprefix("-")
     if not (digits.isascii() and digits.isdigit() and len(digits) <= 12):
         raise errors.InvalidInputError(
-            f"Laburnumsill-Timeout-Ms is not an integer: {text[:40]!r}"
+            f"Laburnumsill-Timeout-Ms is no whole number: {text[:40]!r}"
         )
     timeout_ms = int(text)
     if timeout_ms <= 0:
-        raise errors.DeadlinePassedError(f"{timeout_ms} ms remain")
+        raise errors.DeadlinePassedError(f"{timeout_ms} ms are left")
     return min(timeout_ms, MAX_TIMEOUT_MS)
--- a/laburnumsill/requests/dispatch.py
+++ b/laburnumsill/requests/dispatch.py
@@ -339,7 +339,7 @@
         usable = self._usable_servers(request, attempts.server_ids)
         if not usable:
             raise errors.NoServerError(
-                f"no backend server of {request.service!r} accepts requests"
+                f"no backend server of {request.service!r} can take requests"
             )
         candidates, reason = self._candidates(
             request, usable, attempts.count + 1
--- a/laburnumsill/requests/lookup.py
+++ b/laburnumsill/requests/lookup.py
@@ -66,7 +66,7 @@
         group, claim_records.GetClaim(key, clock.wall()), query_deadline
     )
     if claim_status.state is None:
-        raise errors.NotFoundError(f"there is no record of key {key!r}")
+        raise errors.NotFoundError(f"nothing is known of key {key!r}")
     status = claim_status.answer.status if claim_status.answer else None
     return KeyStatus(
         key, False, claim_status.state, claim_status.attempt, status, None
--- a/laburnumsill/requests/read_body.py
+++ b/laburnumsill/requests/read_body.py
@@ -117,7 +117,7 @@
             or account_bytes > self._max_buffered_bytes * MAX_ACCOUNT_SHARE
         ):
             raise errors.OverloadedError(
-                f"{self.buffered_bytes} bytes of bodies are buffered,"
+                f"{self.buffered_bytes} bytes of bodies are held,"
                 f" {account_bytes - size} of them of account {account!r}"
             )
         self._buffered_by_account[account] = account_bytes
--- a/laburnumsill/wire/calls.py
+++ b/laburnumsill/wire/calls.py
@@ -93,9 +93,7 @@
 
 def _error(vm: str, record: object) -> errors.LaburnumsillError:
     if not isinstance(record, errors.ErrorRecord):
-        return errors.OutcomeUnknownError(
-            f"{vm}: an error reply without an error record"
-        )
+        return errors.OutcomeUnknownError(f"{vm}: a failure without record")
     try:
         return errors.LaburnumsillError.from_record(record)
     except TypeError:  # the constructor of its class takes other arguments
--- a/laburnumsill/wire/frames.py
+++ b/laburnumsill/wire/frames.py
@@ -117,7 +117,7 @@
                     f"receiving failed: {e.__cause__ or e!r}"
                 ) from e
             if not chunk:
-                raise failures.ConnectionLostError("closed by the peer")
+                raise failures.ConnectionLostError("the peer closed it")
             self._buffer += chunk
             self.byte_count += len(chunk)
             self.last_contact_at = self._clock.monotonic()
--- a/laburnumsill/wire/hello.py
+++ b/laburnumsill/wire/hello.py
@@ -35,7 +35,7 @@
         with trio.fail_after(HELLO_TIMEOUT_S):
             yield
     except trio.TooSlowError as error:
-        raise failures.ConnectionLostError("timeout of the hello") from error
+        raise failures.ConnectionLostError("no hello in time") from error
 
 
 async def send(stream: trio.abc.SendStream, vm: str) -> None:
@@ -62,7 +62,7 @@
     frame = await reader.read(MAX_HELLO_BYTES)
     hello = frame.hello
     if hello is None:
-        raise failures.HelloRefusedError("the first frame is not a hello")
+        raise failures.HelloRefusedError("the first frame is no hello")
     if hello.protocol != PROTOCOL:
         raise failures.HelloRefusedError(
             f"{hello.vm_id!r} speaks protocol {hello.protocol}, not {PROTOCOL}"
--- a/laburnumsill/wire/network.py
+++ b/laburnumsill/wire/network.py
@@ -182,7 +182,7 @@
         if peer.dial_scope is not None:
             peer.dial_scope.cancel()
         if peer.connection is not None:
-            peer.connection.close(failures.ConnectionLostError("removed"))
+            peer.connection.close(failures.ConnectionLostError("forgotten"))
 
     async def call(
         self, vm: str, request: object, deadline: float
--- a/laburnumsill/wire/outbox.py
+++ b/laburnumsill/wire/outbox.py
@@ -101,7 +101,7 @@
         item = Item("calls", call, len(call.payload) + _ITEM_OVERHEAD_BYTES)
         if not self._fits(item):
             raise errors.OverloadedError(
-                f"{self._other_bytes} bytes are queued for the peer"
+                f"{self._other_bytes} bytes wait for the peer"
             )
         self._add(item)
         return item
--- a/laburnumsill/wire/sockets.py
+++ b/laburnumsill/wire/sockets.py
@@ -43,7 +43,7 @@
         raise failures.ConnectionLostError(f"{address}: {error}") from error
     except trio.TooSlowError as error:
         raise failures.ConnectionLostError(
-            f"{address}: no connection within {CONNECT_TIMEOUT_S} s"
+            f"{address}: no connection in {CONNECT_TIMEOUT_S} s"
         ) from error
 
 
