--- a/laburnumsill/platform/__init__.py
+++ b/laburnumsill/platform/__init__.py
@@ -1,9 +1,10 @@
-"""The adapter to the users' platform: their wire in, our types out.
+"""Adapter between the users' platform protocol and the project's own types.
 
-Only this folder knows the platform's names. It translates: no decision, no
-state and no retry is made here. Where a name on the wire misleads, the field
-that it is decoded into says what it holds, and a comment says why.
+Only this package knows the names of the platform protocol. It translates
+messages; it makes no scheduling decisions, keeps no state and never retries.
+Where a name on the wire is misleading, the field it is decoded into has a
+descriptive name, and a comment gives the reason.
 
-The platform's words are machine, zone, tenant and executor; the project's are
+The platform's terms are machine, zone, tenant and executor; the project's are
 VM, failure domain, client account and worker (or backend server).
 """
--- a/laburnumsill/platform/announcements.py
+++ b/laburnumsill/platform/announcements.py
@@ -1,7 +1,7 @@
-"""Announcements of workers, from their bytes to the product's types.
+"""Decoder for the announcements of workers.
 
-Anyone may write to the address that takes them, so nothing is guessed: an
-announcement that is not whole and sound names no worker.
+The address that receives announcements is not authenticated. An incomplete or
+invalid announcement is therefore rejected as a whole.
 """
 
 import ipaddress
@@ -17,45 +17,45 @@
 from laburnumsill.platform import wire
 
 DRAINING = "draining"
-"""A worker's state on the wire when it is about to leave."""
+"""State on the wire of a worker that is about to leave."""
 
-LARGEST_BODY_BYTES = 64 * 1024
-"""An announcement of the users has some 250 bytes."""
+MAX_BODY_BYTES = 64 * 1024
+"""Size limit of an announcement; the users' workers send about 250 bytes."""
 
 _WORKER_ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9._:-]{0,127}")
-"""It is sent in a header of each order."""
+"""Valid worker ids; the id is sent in a header of each order."""
 
 _ADDRESS = re.compile(
     r"(?P<host>[^\[\]:]+|\[[^\[\]]+\]):(?P<port>[1-9]\d{0,4})"
 )
 _HOST_NAME = re.compile(r"(?!-)[A-Za-z0-9-]{1,63}(\.(?!-)[A-Za-z0-9-]{1,63})*")
-_LONGEST_HOST = 253
-_LARGEST_PORT = 65_535
+_MAX_HOST_CHARS = 253
+_MAX_PORT = 65_535
 
 
 class MalformedAnnouncementError(decoding.MalformedBodyError):
-    """An announcement that names no worker that could be used."""
+    """An announcement that does not describe a usable worker."""
 
     slug = "malformed-announcement"
     title = "Malformed announcement"
 
 
 def decode(worker_id: str, raw: bytes) -> intakes.Announcement:
-    """Returns the announcement that a worker made.
+    """Decodes and validates the announcement of a worker.
 
     Args:
         worker_id: From the path of the call.
         raw: The body of the call.
 
     Raises:
-        MalformedAnnouncementError: It names no worker that could be used;
-            the detail says why.
+        MalformedAnnouncementError: The announcement does not describe a
+            usable worker; the detail gives the reason.
     """
     check_worker_id(worker_id)
     body = _body(raw)
     _check_address(body.address)
     capacity = body.capacity
-    lasts = body.born is not msgspec.UNSET
+    has_stable_id = body.born is not msgspec.UNSET
     worker = model.Worker(
         incarnations.incarnation_id(worker_id, body.born),
         body.service,
@@ -65,29 +65,29 @@
         body.labels,
         _rack(body.labels),
         body.state == DRAINING,
-        worker_id if lasts else "",
+        worker_id if has_stable_id else "",
     )
     clock_ms = None if body.clock_ms is msgspec.UNSET else body.clock_ms
     return intakes.Announcement(worker, body.seq, clock_ms)
 
 
 def check_worker_id(worker_id: str) -> None:
-    """Checks that an id can be a worker's.
+    """Checks that an id is a valid worker id.
 
     Raises:
-        MalformedAnnouncementError: It can not.
+        MalformedAnnouncementError: The id is invalid.
     """
     if not _WORKER_ID.fullmatch(worker_id):
         raise MalformedAnnouncementError(f"the id is {worker_id[:80]!r}")
 
 
 def _body(raw: bytes) -> wire.HeartbeatBody:
-    if len(raw) > LARGEST_BODY_BYTES:
+    if len(raw) > MAX_BODY_BYTES:
         raise MalformedAnnouncementError(f"{len(raw)} bytes")
     try:
         body = decoding.parse(raw, wire.HeartbeatBody)
-        # The decoder above takes the last of equal names, and skips over
-        # what it does not know without a look at its bytes.
+        # The decoder above accepts repeated names, of which the last one
+        # counts, and skips unknown members without validating them.
         json.loads(raw.decode(), object_pairs_hook=_without_repetition)
     except decoding.MalformedBodyError as error:
         raise MalformedAnnouncementError(error.detail) from error
@@ -97,10 +97,10 @@
 
 
 def _without_repetition(pairs: list[tuple[str, object]]) -> dict[str, object]:
-    """Returns the members of an object.
+    """Returns the members of a JSON object.
 
     Raises:
-        ValueError: Two have the same name, so nobody knows which one counts.
+        ValueError: A name is repeated, which makes the object ambiguous.
     """
     members = dict(pairs)
     if len(members) < len(pairs):
@@ -109,22 +109,22 @@
 
 
 def _check_address(address: str) -> None:
-    """Checks that something may be listening at an address.
+    """Checks that an address is a valid host and port.
 
     Raises:
-        MalformedAnnouncementError: That can not be.
+        MalformedAnnouncementError: The address is invalid.
     """
-    found = _ADDRESS.fullmatch(address)
+    match = _ADDRESS.fullmatch(address)
     if (
-        found is None
-        or int(found["port"]) > _LARGEST_PORT
-        or not _is_host(found["host"])
+        match is None
+        or int(match["port"]) > _MAX_PORT
+        or not _is_host(match["host"])
     ):
         raise MalformedAnnouncementError(f"the address is {address[:80]!r}")
 
 
 def _is_host(text: str) -> bool:
-    """Returns whether a name or an IP address names one host.
+    """Returns whether a text is a host name or the IP address of one host.
 
     Examples:
         >>> [_is_host(t) for t in ("10.0.0.9", "[::1]", "w-1.example")]
@@ -134,7 +134,7 @@
     """
     is_name = not text.startswith("[") and not text[-1].isdigit()
     if is_name:
-        fits = len(text) <= _LONGEST_HOST
+        fits = len(text) <= _MAX_HOST_CHARS
         return fits and _HOST_NAME.fullmatch(text) is not None
     try:
         if text.startswith("["):
@@ -150,8 +150,8 @@
 def _rack(labels: tuple[str, ...]) -> str:
     """Returns the rack among a worker's labels.
 
-    The wire does not mark it: labels are the worker's kind and its rack, in
-    this order, and racks are named like ``r1-3``.
+    The wire does not mark the rack: the labels are the kind of the worker and
+    its rack, in this order, and racks have names such as ``r1-3``.
 
     Examples:
         >>> _rack(("a", "r1-3"))
--- a/laburnumsill/platform/caller_app.py
+++ b/laburnumsill/platform/caller_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application for callers: jobs of queues."""
+"""ASGI application for callers, who submit and query jobs."""
 
 import abc
 
@@ -17,13 +17,14 @@
 READY_PATH = "/-/ready"
 DEFAULT_DEADLINE_MS = 3_000
 MAX_DEADLINE_DIGITS = 9
-"""A deadline of more digits is none; 4,300 are refused as a number."""
+"""With more digits, only the timeout of the queue applies. Python refuses to
+convert a string of more than 4,300 digits to an integer."""
 
 BEARER = "Bearer "
 
 
 class Front(abc.ABC):
-    """What the application asks of its daemon."""
+    """State of the daemon that the application depends on."""
 
     @property
     @abc.abstractmethod
@@ -33,20 +34,21 @@
     @property
     @abc.abstractmethod
     def may_refuse(self) -> bool:
-        """Whether a queue or key that the configuration lacks is not there.
+        """Whether a queue or key may be rejected as unknown.
 
-        A newer version that is not here yet may have it.
+        False while a newer version of the configuration, which may define it,
+        may not have arrived on this VM.
         """
 
     @property
     @abc.abstractmethod
     def ready(self) -> bool:
-        """Whether the balancer should send callers here."""
+        """Whether the load balancer should send callers to this VM."""
 
     @property
     @abc.abstractmethod
     def closing(self) -> bool:
-        """Whether connections are to end after their next answer."""
+        """Whether connections are closed after their next answer."""
 
 
 class CallerApp:
@@ -79,15 +81,15 @@
         except http.DisconnectedError:
             return
         except errors.LaburnumsillError as error:
-            answer = _answer_to(error)
+            answer = _error_answer(error)
             call.reason = error.slug
         await http.send_answer(send, answer, self._front.closing)
-        self._note(call, answer, began)
+        self._record(call, answer, began)
 
     async def ready(
         self, scope: http.Scope, receive: http.Receive, send: http.Send
     ) -> None:
-        """Serves the balancer's question."""
+        """Serves the readiness check of the load balancer."""
         if scope["type"] == "http":
             await http.send_answer(send, self._readiness())
 
@@ -103,7 +105,7 @@
         if configuration is None:
             raise NoConfigurationError("no configuration is in force here")
         call.version = configuration.version
-        queue, account = self._admitted(configuration, call.request)
+        queue, account = self._admit(configuration, call.request)
         call.queue = queue.name
         call.account = account
         call.job = call.request.path[len(queue.path_prefix) :]
@@ -112,19 +114,19 @@
             raise http.BodyTooLargeError(f"{len(body)} bytes")
         return await self._serve(call, queue, account, body, deadline)
 
-    def _admitted(
+    def _admit(
         self, configuration: site.SiteConfiguration, request: http.Request
     ) -> tuple[site.Queue, str]:
         """Returns the queue and the account of a request.
 
         Raises:
             UnknownQueueError: There is no such queue.
-            UnknownKeyError: The key is no account's.
-            NoConfigurationError: Neither is here, but a newer version may
-                have it.
+            UnknownKeyError: The key belongs to no account.
+            NoConfigurationError: The queue or key is unknown here, but a newer
+                version of the configuration may define it.
         """
         try:
-            return _admitted(configuration, request)
+            return _admit(configuration, request)
         except (UnknownQueueError, UnknownKeyError) as error:
             if self._front.may_refuse:
                 raise
@@ -159,7 +161,7 @@
             return http.json_answer(200, {})
         return http.Answer(405)
 
-    def _note(self, call: "_Call", answer: http.Answer, began: float) -> None:
+    def _record(self, call: "_Call", answer: http.Answer, began: float) -> None:
         took_s = self._clock.monotonic() - began
         method = call.request.method
         self._metrics.count(
@@ -167,7 +169,7 @@
         )
         self._metrics.observe("caller_request_seconds", took_s, method=method)
         if answer.status == 200 and method == "GET":
-            return  # states are asked for all the time and change nothing
+            return  # read-only requests are frequent, so they are not logged
         logs.event(
             "caller-request",
             job=call.job,
@@ -182,7 +184,7 @@
 
 
 class _Call:
-    """What is written of one request."""
+    """Fields of the log line of a request."""
 
     def __init__(self, request: http.Request) -> None:
         self.request = request
@@ -194,14 +196,14 @@
 
 
 class NoConfigurationError(errors.UnavailableError):
-    """This VM has no configuration, or does not know that it is in force."""
+    """This VM has no configuration that is known to be in force."""
 
     slug = "no-configuration"
     title = "No configuration is in force here"
 
 
 class UnknownQueueError(errors.UnknownNameError):
-    """No queue has this host and path."""
+    """No queue matches the host and path."""
 
     slug = "unknown-queue"
     title = "Unknown queue"
@@ -215,14 +217,14 @@
     title = "Unknown API key"
 
 
-def _admitted(
+def _admit(
     configuration: site.SiteConfiguration, request: http.Request
 ) -> tuple[site.Queue, str]:
     """Returns the queue and the account of a request.
 
     Raises:
         UnknownQueueError: There is no such queue.
-        UnknownKeyError: The key is no account's.
+        UnknownKeyError: The key belongs to no account.
     """
     host = request.headers.get("host", "").partition(":")[0]
     queue = configuration.queue_for(host, request.path)
@@ -237,7 +239,7 @@
 
 
 def _deadline_ms(request: http.Request, queue: site.Queue) -> int:
-    """Returns how long the caller waits, in ms; from the request's start."""
+    """Returns the caller's timeout in ms, counted from the request's start."""
     text = request.headers.get("x-deadline-ms", "")
     if not text.isdecimal():
         return min(DEFAULT_DEADLINE_MS, queue.timeout_ms)
@@ -246,11 +248,11 @@
     return min(int(text), queue.timeout_ms)
 
 
-def _answer_to(error: errors.LaburnumsillError) -> http.Answer:
+def _error_answer(error: errors.LaburnumsillError) -> http.Answer:
     """Returns the answer to a request that failed.
 
-    On this wire 503 says that a job was not accepted and never runs, so a
-    job that may have been accepted gets 504.
+    In this protocol 503 means that a job was not accepted and never runs, so
+    504 is returned for a job that may have been accepted.
     """
     if isinstance(error, gateways.UnknownJobError):
         return http.Answer(410, msgspec.json.encode({"type": error.slug}))
--- a/laburnumsill/platform/control_app.py
+++ b/laburnumsill/platform/control_app.py
@@ -1,4 +1,4 @@
-"""The ASGI application for operators and workers."""
+"""ASGI application for operators and workers."""
 
 from laburnumsill.batch import intake as intakes
 from laburnumsill.core import clock as clocks
@@ -14,11 +14,12 @@
 CONFIGURATION_PATH = "/-/config"
 INSTANCES_PREFIX = "/-/instances/"
 
-CONFIGURATION_WITHIN_S = 0.9
-"""An operator waits one second before it turns to another VM."""
+CONFIGURATION_TIMEOUT_S = 0.9
+"""Shorter than the second after which an operator tries another VM."""
 
 REFUSED_STATUS = 400
-"""Any 4xx refuses a configuration; 400 ends the operator's call at once."""
+"""Status for an invalid configuration. Any 4xx rejects it; after 400 the
+operator's call ends at once."""
 
 
 class ControlApp:
@@ -26,11 +27,11 @@
 
     Args:
         group: The group whose state machine holds the configuration.
-        groups: Access to it.
-        intake: Takes the announcements.
-        control_port: Where the VMs of the core serve this application.
+        groups: Access to the group.
+        intake: Receives the announcements.
+        control_port: Port on which the core VMs serve this application.
         clock: The clock of this process.
-        metrics: Takes the counters.
+        metrics: Receives the counters.
     """
 
     def __init__(
@@ -69,7 +70,7 @@
             answer = http.failure(error.status, error)
             reason = error.detail
         await http.send_answer(send, answer)
-        self._note(request, answer, reason)
+        self._record(request, answer, reason)
 
     async def _answer(self, request: http.Request, body: bytes) -> http.Answer:
         if request.path == CONFIGURATION_PATH:
@@ -99,13 +100,13 @@
             return http.failure(REFUSED_STATUS, error)
         packed = highest_version.pack(body)
         command = highest_version.PutDocument(decoded.version, packed)
-        taken = await self._groups.propose(
+        result = await self._groups.propose(
             self._group, command, self._deadline()
         )
         logs.event(
             "configuration-accepted",
             version=decoded.version,
-            in_force=taken.version_in_force,
+            in_force=result.version_in_force,
             bytes=len(body),
             packed_bytes=len(packed),
         )
@@ -126,9 +127,9 @@
         return http.json_answer(200, {"heartbeat_addr": address})
 
     def _deadline(self) -> float:
-        return self._clock.monotonic() + CONFIGURATION_WITHIN_S
+        return self._clock.monotonic() + CONFIGURATION_TIMEOUT_S
 
-    def _note(
+    def _record(
         self, request: http.Request, answer: http.Answer, reason: str
     ) -> None:
         is_worker = request.path.startswith(INSTANCES_PREFIX)
--- a/laburnumsill/platform/decoding.py
+++ b/laburnumsill/platform/decoding.py
@@ -1,4 +1,4 @@
-"""From the platform's messages to the product's types, once."""
+"""Validates the platform's messages and converts them to internal types."""
 
 import typing
 
@@ -13,27 +13,28 @@
 _HEX = frozenset("0123456789abcdefABCDEF")
 
 MAX_SPEC_BYTES = 4_000
-"""Longest payload of a job; from the platform's protocol."""
+"""Size limit of a job's payload, defined by the platform protocol."""
 
 MAX_TASKS = 20_000
-"""Most tasks of a job, all occurrences together: what the ledger can carry
-for one caller. The largest job of the users' sites has some hundred."""
+"""Limit of the tasks of a job over all its occurrences, which bounds the load
+of one caller on the ledger. The largest jobs of the users' sites have a few
+hundred tasks."""
 
 T = typing.TypeVar("T")
 
 
 class MalformedBodyError(errors.InvalidInputError):
-    """A body that cannot be read in full, or is not what it should be."""
+    """A body that cannot be parsed or does not match the expected schema."""
 
     slug = "malformed-body"
     title = "Malformed body"
 
 
 def parse(raw: bytes, kind: type[T]) -> T:
-    """Returns a JSON body as the message that it should be.
+    """Parses a JSON body as a message of the given type.
 
     Raises:
-        MalformedBodyError: It is no such message.
+        MalformedBodyError: The body is not a valid message of this type.
     """
     try:
         return msgspec.json.decode(raw, type=kind)
@@ -44,7 +45,7 @@
 
 
 def is_job_id(text: str) -> bool:
-    """Returns whether `text` is a job's id as callers choose them.
+    """Returns whether `text` has the form of a job id chosen by a caller.
 
     Examples:
         >>> is_job_id("5c0e7a21d94b36f8"), is_job_id("5c0e")
@@ -56,10 +57,10 @@
 def job(
     job_id: str, queue: site.Queue, account: str, body: wire.JobBody
 ) -> model.Job:
-    """Returns a submitted job.
+    """Returns the job that a submission describes.
 
     Raises:
-        MalformedBodyError: It makes no sense as a job.
+        MalformedBodyError: The job is invalid.
     """
     steps = tuple(_step(number, one) for number, one in enumerate(body.steps))
     if not steps:
@@ -114,10 +115,11 @@
 
 
 def configuration(raw: bytes) -> site.SiteConfiguration:
-    """Returns a configuration that may be put in force.
+    """Parses and validates a configuration.
 
     Raises:
-        errors.InvalidConfigurationError: It may not; the detail says why.
+        errors.InvalidConfigurationError: The configuration is invalid; the
+            detail gives the reason.
     """
     try:
         body = parse(raw, wire.ConfigurationBody)
@@ -137,7 +139,7 @@
 
 def _check(body: wire.ConfigurationBody) -> None:
     services = {service.name for service in body.services}
-    places: set[tuple[str, str]] = set()
+    matches: set[tuple[str, str]] = set()
     for route in body.routes:
         if route.service not in services:
             raise errors.InvalidConfigurationError(
@@ -147,12 +149,12 @@
             raise errors.InvalidConfigurationError(
                 f"route {route.name!r}: timeout_ms is {route.timeout_ms}"
             )
-        place = (route.host, route.path_prefix)
-        if place in places:
+        match = (route.host, route.path_prefix)
+        if match in matches:
             raise errors.InvalidConfigurationError(
-                f"route {route.name!r}: another has {place!r}"
+                f"route {route.name!r}: another has {match!r}"
             )
-        places.add(place)
+        matches.add(match)
     _check_keys(body.tenants)
 
 
--- a/laburnumsill/platform/http.py
+++ b/laburnumsill/platform/http.py
@@ -1,7 +1,7 @@
-"""Plain ASGI: a request read whole, an answer sent whole.
+"""Minimal ASGI helpers that read whole requests and send whole responses.
 
-A role has a few calls and needs none of what a framework would bring, which
-costs memory (docs/STYLE.md has the figures).
+A role serves only a few calls, and a web framework would cost memory
+(docs/STYLE.md has the figures).
 """
 
 import dataclasses
@@ -18,41 +18,41 @@
 Send = abc.Callable[[dict[str, typing.Any]], abc.Awaitable[None]]
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
-"""Largest body that is read at all, whatever the configuration allows."""
+"""Hard limit of the size of a body, whatever the configuration allows."""
 
-PIECE_WITHIN_S = 10.0
-"""Longest wait for the next piece of a body. A caller whose connection has
-gone silent would keep its descriptor for ever; the users' callers wait 10 s
-for the whole answer at most."""
+BODY_CHUNK_TIMEOUT_S = 10.0
+"""Timeout for the next chunk of a body. Without it, a connection on which no
+more data arrives would hold its file descriptor forever. The users' callers
+wait at most 10 s for the whole answer."""
 
 
 class BodyTooLargeError(errors.TooLargeError):
-    """A body over the limit of its call."""
+    """A body that exceeds the size limit of its call."""
 
     slug = "body-too-large"
 
 
 class BodyLateError(errors.UnavailableError):
-    """Nothing came of a body for so long that its caller is given up."""
+    """No part of the body arrived within `BODY_CHUNK_TIMEOUT_S`."""
 
     slug = "body-late"
     title = "The body did not arrive in time"
 
 
 class DisconnectedError(errors.LaburnumsillError):
-    """The caller went away before its request was whole."""
+    """The caller disconnected before its request was complete."""
 
     slug = "disconnected"
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """One request without its body.
+    """A request without its body.
 
     Attributes:
-        method: In capitals.
-        path: Decoded, without the query.
-        headers: By name in lower case; the last of equal ones counts.
+        method: The HTTP method in upper case.
+        path: The decoded path without the query.
+        headers: Values by lower-case name; of repeated headers, the last value.
     """
 
     method: str
@@ -62,13 +62,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """One answer.
+    """An HTTP response.
 
     Attributes:
         status: The HTTP status.
         body: The whole body.
-        retry_after_s: When to come back, None for nothing said.
-        content_type: Of the body.
+        retry_after_s: Value of the `Retry-After` header, None to omit it.
+        content_type: The media type of the body.
     """
 
     status: int
@@ -87,41 +87,41 @@
 
 
 async def read_body(receive: Receive, limit: int = MAX_BODY_BYTES) -> bytes:
-    """Returns the whole body.
+    """Returns the whole body of a request.
 
     Raises:
-        BodyLateError: Nothing came for `PIECE_WITHIN_S`.
-        BodyTooLargeError: It is larger than `limit`.
-        DisconnectedError: The caller went away.
+        BodyLateError: Nothing arrived for `BODY_CHUNK_TIMEOUT_S`.
+        BodyTooLargeError: The body is larger than `limit`.
+        DisconnectedError: The caller disconnected.
     """
-    pieces = []
+    chunks = []
     size = 0
     while True:
         message = await _next_message(receive)
         if message["type"] == "http.disconnect":
             raise DisconnectedError("the caller went away")
-        piece = message.get("body", b"")
-        size += len(piece)
+        chunk = message.get("body", b"")
+        size += len(chunk)
         if size > limit:
             raise BodyTooLargeError(f"over {limit} bytes")
-        pieces.append(piece)
+        chunks.append(chunk)
         if not message.get("more_body", False):
-            return b"".join(pieces)
+            return b"".join(chunks)
 
 
 async def _next_message(receive: Receive) -> dict[str, typing.Any]:
-    with trio.move_on_after(PIECE_WITHIN_S):
+    with trio.move_on_after(BODY_CHUNK_TIMEOUT_S):
         return await receive()
-    raise BodyLateError(f"nothing for {PIECE_WITHIN_S:.0f} s")
+    raise BodyLateError(f"nothing for {BODY_CHUNK_TIMEOUT_S:.0f} s")
 
 
 async def send_answer(send: Send, answer: Answer, close: bool = False) -> None:
-    """Sends an answer whole.
+    """Sends a whole answer.
 
     Args:
-        send: Of the ASGI call.
-        answer: What to send.
-        close: Whether the connection is closed after it.
+        send: The `send` callable of the ASGI call.
+        answer: The answer.
+        close: Whether to close the connection afterwards.
     """
     headers = [
         (b"content-type", answer.content_type.encode()),
--- a/laburnumsill/platform/incarnations.py
+++ b/laburnumsill/platform/incarnations.py
@@ -1,7 +1,8 @@
-"""Which life of a platform's executor a message is of.
+"""Incarnations of the platform's executors.
 
-Executors keep their id when they start again and tell their lives apart by
-when each began; older ones have a new id each time and do not say that.
+Executors keep their id across restarts, and the start time distinguishes their
+incarnations. Older executors use a new id for each start and send no start
+time.
 """
 
 import msgspec
@@ -10,11 +11,11 @@
 from laburnumsill.batch import worker_client
 
 _SEPARATOR = "@"
-"""No id has it."""
+"""Character that does not occur in the ids of workers."""
 
 
 def incarnation_id(name: str, born_ms: int | msgspec.UnsetType) -> str:
-    """Returns the id of one life.
+    """Returns the id of an incarnation of a worker.
 
     Examples:
         >>> incarnation_id("i-7", 1700000000000)
@@ -30,11 +31,12 @@
 def check_reporter(
     worker: model.Worker, born_ms: int | msgspec.UnsetType
 ) -> None:
-    """Checks that a report is of the life that was asked.
+    """Checks that a report comes from the incarnation that was queried.
 
     Raises:
-        worker_client.IncarnationReplacedError: Another one has answered.
-        worker_client.NoAnswerError: It does not say which one has.
+        worker_client.IncarnationReplacedError: Another incarnation answered.
+        worker_client.NoAnswerError: The report lacks the start time that
+            identifies the incarnation.
     """
     if worker.name and born_ms is msgspec.UNSET:
         raise worker_client.NoAnswerError(
--- a/laburnumsill/platform/reports.py
+++ b/laburnumsill/platform/reports.py
@@ -1,7 +1,7 @@
-"""Reports of workers, from their bytes to the product's types.
+"""Decoder for the reports of workers.
 
-Each row is read by itself: one that makes no sense is logged and counted,
-and hides no other one.
+Rows are decoded independently: an invalid row is logged and counted, and the
+others are still used.
 """
 
 import re
@@ -25,34 +25,37 @@
     "lapsed": commands.EndKind.LEASE_ENDED,
     # "broken" means that another member of the gang ended, not a fault.
     "broken": commands.EndKind.MEMBER_ENDED,
-    # "alone" means that the other members did not come in time.
+    # "alone" means that the other members of the gang did not start in time.
     "alone": commands.EndKind.INCOMPLETE_GANG,
 }
 
 _NUMBER = r"(?:0|[1-9][0-9]{0,8})"
 _TASK = re.compile(rf"[^\s.]{{1,64}}(?:\.{_NUMBER}){{3}}")
-"""The name of a task; written with other digits it would name another."""
+"""Name of a task. Leading zeros are rejected, so that each task has exactly one
+name."""
 
 MAX_LOGGED_ROW = 160
-"""Characters of an unread row in a log line."""
+"""Number of characters of an invalid row that are logged."""
 
 T = typing.TypeVar("T")
 
 
 class UnreadRowError(decoding.MalformedBodyError):
-    """A row of a report that makes no sense."""
+    """A row of a report that cannot be decoded."""
 
     slug = "unread-row"
     title = "A row of a report makes no sense"
 
 
 def decode(worker: model.Worker, raw: bytes) -> worker_client.Report:
-    """Returns the report that a worker's answer holds.
+    """Decodes the report in a worker's answer.
 
     Raises:
-        decoding.MalformedBodyError: It is no report.
-        worker_client.IncarnationReplacedError: It is another one's.
-        worker_client.NoAnswerError: It does not say whose it is.
+        decoding.MalformedBodyError: The answer is not a report.
+        worker_client.IncarnationReplacedError: Another incarnation of the
+            worker answered.
+        worker_client.NoAnswerError: The report does not identify the
+            incarnation.
     """
     answer = decoding.parse(raw, wire.ReportAnswer)
     incarnations.check_reporter(worker, answer.born)
@@ -72,7 +75,7 @@
     rows: abc.Sequence[msgspec.Raw],
     read: abc.Callable[[msgspec.Raw], T],
 ) -> abc.Iterator[T]:
-    """Yields the rows that can be read, and logs the others."""
+    """Yields the rows that can be decoded, and logs the others."""
     for row in rows:
         try:
             yield read(row)
--- a/laburnumsill/platform/wire.py
+++ b/laburnumsill/platform/wire.py
@@ -1,24 +1,26 @@
-"""The messages of the platform, field by field as they are on the wire."""
+"""Schemas of the platform's messages, with the field names of the wire."""
 
 import typing
 
 import msgspec
 
 LARGEST_NUMBER = 2**53
-"""Numbers up to this one are exact for all readers of JSON, and fit into the
-log's 64 bits."""
+"""Largest integer that every JSON parser represents exactly; it fits the 64-bit
+integers of the replicated log."""
 
 LARGEST_AMOUNT = 10**9
-"""A million cores, or a petabyte of memory in MB."""
+"""Limit of a resource amount: a million cores in thousandths, or a petabyte of
+memory in MB."""
 
 MOST_ACCELERATORS = 10_000
-"""Of one worker; the users' workers have 8."""
+"""Limit of the accelerators of a worker; the users' workers have 8."""
 
 LONGEST_NAME = 256
-"""Of a service, a failure domain or a label, in characters."""
+"""Length limit of the name of a service, failure domain or label, in
+characters."""
 
 Whole = typing.Annotated[int, msgspec.Meta(ge=-(2**63), le=2**63 - 1)]
-"""What the log carries."""
+"""Integer that fits the 64 bits of the replicated log."""
 
 Count = typing.Annotated[int, msgspec.Meta(ge=0, le=LARGEST_NUMBER)]
 Number = typing.Annotated[int, msgspec.Meta(ge=1, le=LARGEST_NUMBER)]
@@ -31,7 +33,7 @@
 
 
 class StepBody(msgspec.Struct):
-    """A step of a submitted job; fields that are zero are left out."""
+    """A step of a submitted job; callers omit fields that are zero."""
 
     count: Whole
     cpu: Count = 0  # thousandths of a core
@@ -53,14 +55,14 @@
     """A submitted job."""
 
     steps: tuple[StepBody, ...]
-    spec: str = ""  # opaque; handed to the workers unread
+    spec: str = ""  # opaque payload, passed to the workers unparsed
     repeat_count: Count = 0
     start_at_ms: Whole = 0  # ms since 1970
     interval_ms: Count = 0
 
 
 class CapacityBody(msgspec.Struct):
-    """What a worker has in all."""
+    """Total resources of a worker."""
 
     cpu: Amount
     mem_mb: Amount
@@ -68,16 +70,16 @@
 
 
 class HeartbeatBody(msgspec.Struct):
-    """What a worker says of itself; its id is in the path.
+    """The announcement of a worker, whose id is in the path.
 
-    Nothing that workers always send has a default: what lacks it was not
-    sent by a worker.
+    Fields that workers always send have no default, so a body without them is
+    rejected as not sent by a worker.
     """
 
     service: Name
     address: str
     zone: Name
-    version: str  # of its software, not of a message
+    version: str  # of the worker's software
     slots: Count
     state: typing.Literal["ready", "draining"]
     cold_left_ms: Count
@@ -85,12 +87,12 @@
     capacity: CapacityBody
     labels: tuple[Name, ...]
     clock_ms: Count | msgspec.UnsetType = msgspec.UNSET
-    born: Count | msgspec.UnsetType = msgspec.UNSET  # Unix ms of its start
-    remaining_ms: Count = 0  # the least time left, only while it drains
+    born: Count | msgspec.UnsetType = msgspec.UNSET  # start time, Unix ms
+    remaining_ms: Count = 0  # minimum time left; only while draining
 
 
 class RouteBody(msgspec.Struct):
-    """A route of the configuration, which is a queue of jobs."""
+    """A route of the configuration; it corresponds to a job queue."""
 
     name: str
     host: str
@@ -107,7 +109,7 @@
 
 
 class ServiceBody(msgspec.Struct):
-    """A service of the configuration, which is a pool of workers."""
+    """A service of the configuration; it corresponds to a worker pool."""
 
     name: str
     enforces_capacity: bool = False
@@ -115,20 +117,20 @@
 
 
 class LimitsBody(msgspec.Struct):
-    """Bounds of callers' requests."""
+    """Size limits of callers' requests."""
 
     max_header_bytes: Whole = 16384
     max_body_bytes: Whole = 262144
 
 
 class GuaranteeBody(msgspec.Struct):
-    """What is a tenant's own."""
+    """Resources that are guaranteed to a tenant."""
 
     gpu: Whole = 0
 
 
 class TenantBody(msgspec.Struct):
-    """A tenant of the configuration, which is a client account."""
+    """A tenant of the configuration; it corresponds to a client account."""
 
     name: str
     api_keys: tuple[str, ...] = ()
@@ -153,16 +155,16 @@
 
 
 class ReportAnswer(msgspec.Struct):
-    """A worker's answer to a hold; its rows are read one by one."""
+    """A worker's answer to a hold call; its rows are decoded individually."""
 
     clock_ms: Count
-    born: Count | msgspec.UnsetType = msgspec.UNSET  # Unix ms of its start
+    born: Count | msgspec.UnsetType = msgspec.UNSET  # start time, Unix ms
     running: list[msgspec.Raw] = []
     ended: list[msgspec.Raw] = []
 
 
 class RunningRow(msgspec.Struct, array_like=True):
-    """A run in a hold; further entries may follow."""
+    """A running task in the answer to a hold; further elements are ignored."""
 
     task: str
     run: Number
@@ -171,9 +173,9 @@
 
 
 class EndedRow(msgspec.Struct, array_like=True):
-    """An end in a hold."""
+    """An ended run in the answer to a hold."""
 
-    seq: Number  # N on the users' pages
+    seq: Number  # "N" in the platform documentation
     task: str
     run: Number
     how: str
--- a/laburnumsill/platform/workers.py
+++ b/laburnumsill/platform/workers.py
@@ -1,4 +1,4 @@
-"""Orders to the platform's executors, over HTTP."""
+"""Client that sends orders to the platform's executors over HTTP."""
 
 import httpcore
 import msgspec
@@ -14,17 +14,19 @@
 from laburnumsill.platform import wire
 
 MAX_CONNECTIONS = 12
-"""Connections to one worker; the users' workers take 64 in all."""
+"""Limit of the connections to one worker; the users' workers accept 64 in
+total."""
 
 KEEP_ALIVE_S = 60.0
-"""New connections are priced; a worker is called again within seconds."""
+"""Idle connections are kept open because new ones are charged for, and a worker
+is called again within seconds."""
 
 CONNECT_TIMEOUT_S = 0.5
-"""A connection within a site takes some milliseconds."""
+"""Connecting within a site takes a few milliseconds."""
 
 
 class PlatformWorkerClient(worker_client.WorkerClient):
-    """Speaks the platform's calls run-start, run-stop and hold."""
+    """Implements the platform's calls run-start, run-stop and hold."""
 
     def __init__(self, clock: clocks.Clock) -> None:
         self._pools = http_pools.HttpPools(
@@ -40,7 +42,7 @@
         order: worker_client.StartOrder,
         deadline: float,
     ) -> worker_client.Answer:
-        """Starts a run, see the base class."""
+        """Starts a run; see the base class."""
         body: dict[str, object] = {
             "task": str(order.run.task),
             "run": order.run.number,
@@ -61,7 +63,7 @@
         fence: int,
         deadline: float,
     ) -> worker_client.Answer:
-        """Stops a run, see the base class."""
+        """Stops a run; see the base class."""
         body = {"task": str(run.task), "run": run.number, "fence": fence}
         raw = await self._call(worker, "/-/run-stop", body, deadline)
         call = f"run-stop at {worker.worker_id}"
@@ -73,7 +75,7 @@
         order: worker_client.ReportOrder,
         deadline: float,
     ) -> worker_client.Report:
-        """Asks for a report, see the base class."""
+        """Requests a report; see the base class."""
         body: dict[str, object] = {
             "fence": order.fence,
             "ack_cursor": order.last_end,
@@ -101,7 +103,7 @@
         body: dict[str, object],
         deadline: float,
     ) -> bytes:
-        """Returns the body of a success; anything else becomes an error."""
+        """Returns the body of a successful answer, or raises an error."""
         try:
             response = await self._pools.request(
                 "POST",
@@ -124,7 +126,7 @@
 
 
 def _answer(raw: bytes, call: str) -> wire.OrderAnswer:
-    """Returns the answer to an order; one that cannot be read says nothing."""
+    """Decodes the answer to an order; an invalid answer is treated as empty."""
     if not raw:
         return wire.OrderAnswer()
     try:
@@ -137,7 +139,7 @@
 
 
 def _refusal(response: httpcore.Response, call: str) -> Exception:
-    """Returns the error that a status other than 200 stands for."""
+    """Returns the error for a response with a status other than 200."""
     answer = _answer(response.content, call)
     detail = f"{call}: {response.status} {answer.reason}"
     clock_ms = answer.clock_ms
@@ -155,8 +157,8 @@
 
 _REFUSALS: dict[str, type[errors.ConflictError]] = {
     "fence": worker_client.FencedOffError,
-    # "old" means that this run, or a later one of the task, ended there.
+    # "old" means that this or a later run of the task has ended there.
     "old": worker_client.RunOverError,
-    # "late" means that the lease in the order had ended already.
+    # "late" means that the lease in the order had already expired.
     "late": worker_client.LeaseTooOldError,
 }
