--- a/laburnumsill/platform/tests/soak/daemon_on_machine.py
+++ b/laburnumsill/platform/tests/soak/daemon_on_machine.py
@@ -1,9 +1,9 @@
-"""A role's daemon on a machine whose disk fills up and that is suspended.
+"""Runs a role's daemon with simulated full disks and VM suspensions.
 
-Started as `daemon.role_main` is. While the file that `full_marker` names is
-there, each write to a file leaves half of its bytes and fails with ENOSPC. The
-steady clock lacks the seconds that the file of `suspended_marker` holds, which
-is read when the process is continued.
+The arguments are those of `daemon.role_main`. While the file `full_marker`
+exists, each write to a file stores half of its bytes and fails with ENOSPC. The
+monotonic clock excludes the seconds in the file `suspended_marker`, which is
+read when the process receives SIGCONT.
 """
 
 import errno
@@ -13,26 +13,26 @@
 import sys
 import time
 
-LAST_STANDARD = 2
-"""The descriptors up to this one are the log's."""
+LAST_STANDARD_DESCRIPTOR = 2
+"""Last descriptor of the standard streams, which carry the log."""
 
 
 def full_marker(settings: pathlib.Path) -> pathlib.Path:
-    """Returns the file that makes the disk of a daemon full."""
+    """Returns the file whose existence simulates a full disk of a daemon."""
     return settings.with_suffix(".full")
 
 
 def suspended_marker(settings: pathlib.Path) -> pathlib.Path:
-    """Returns the file that tells how long a daemon was suspended."""
+    """Returns the file with the total suspension time of a daemon."""
     return settings.with_suffix(".suspended")
 
 
-def limit_writes(marker: pathlib.Path) -> None:
-    """Has all writes to files fail while `marker` is there."""
+def simulate_full_disk(marker: pathlib.Path) -> None:
+    """Makes all writes to files fail while `marker` exists."""
     real = os.write
 
     def write(descriptor: int, raw: bytes) -> int:
-        if descriptor > LAST_STANDARD and marker.exists():
+        if descriptor > LAST_STANDARD_DESCRIPTOR and marker.exists():
             real(descriptor, bytes(raw)[: len(raw) // 2])
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
         return real(descriptor, raw)
@@ -40,8 +40,8 @@
     os.write = write
 
 
-def stop_clock(marker: pathlib.Path) -> None:
-    """Has the steady clock leave out the time of suspensions."""
+def exclude_suspensions(marker: pathlib.Path) -> None:
+    """Makes the monotonic clocks exclude the time of suspensions."""
     missing_s = 0.0
 
     def read_marker(*_: object) -> None:
@@ -60,10 +60,10 @@
 if __name__ == "__main__":
     settings_file = pathlib.Path(sys.argv[2])
     suspended_marker(settings_file).unlink(missing_ok=True)
-    stop_clock(suspended_marker(settings_file))
-    limit_writes(full_marker(settings_file))
+    exclude_suspensions(suspended_marker(settings_file))
+    simulate_full_disk(full_marker(settings_file))
 
-    # Imported once the clocks are in their place: others take them by name.
+    # Imported after the clocks are replaced, since modules bind them by name.
     from laburnumsill.daemon import role_main
 
     role_main.main()
--- a/laburnumsill/platform/tests/soak/layout.py
+++ b/laburnumsill/platform/tests/soak/layout.py
@@ -1,8 +1,8 @@
-"""Which VMs a soak's site has, and which links lie between them.
+"""VMs of a soak's site and the proxied links between them.
 
-Each VM has an IP address of its own on loopback. All VMs of a site are meant
-to listen for their peers on one port, so each is told another one here: VM a
-then dials b at b's address and a's port, where the link from a to b listens.
+Each VM has its own loopback IP address. A daemon dials its peers on the port
+on which it listens itself. Each VM is configured with a different port, so VM
+a dials VM b at b's address and a's port, where the link from a to b listens.
 """
 
 import dataclasses
@@ -12,13 +12,13 @@
 
 CORE = ("127.0.78.1", "127.0.78.2", "127.0.78.3")
 SPARE = "127.0.78.4"
-"""A core VM beyond those that vote, which some soaks have."""
+"""Core VM of some soaks that is not an initial voter."""
 
 ENTRIES = ("127.0.78.11", "127.0.78.12")
 TOLERATED_LOSSES = 1
 
 LONGEST_LEASE_MS = 4_000
-"""Shorter than the users' 10 s, so that a soak need not wait so long."""
+"""Shorter than the 10 s of the users' sites, which shortens a soak."""
 
 KEY_REVOKED_MS = 5_000
 """As on the users' sites."""
@@ -26,17 +26,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VmAddresses:
-    """Where one VM is.
+    """Addresses of a VM.
 
     Attributes:
-        vm: Its IP address, which is its id too.
+        vm: The IP address of the VM, which is also its id.
         role: The role that its daemon runs.
-        peer_port: Where it listens for peers and where it dials them.
-        callers: Of an entry, where callers reach it through a link.
-        own_callers: Where it itself listens for them.
-        control: Of a core VM, where workers and operators reach it.
-        own_control: Where it itself listens for them.
-        readiness: Of an entry.
+        peer_port: The port on which it listens for peers and dials them.
+        callers: Address of the link through which callers reach an entry.
+        own_callers: Address on which the entry listens for callers.
+        control: Address of the link through which workers and operators reach
+            a core VM.
+        own_control: Address on which the core VM listens for them.
+        readiness: Address of the readiness check of an entry.
     """
 
     vm: str
@@ -50,22 +51,22 @@
 
     @property
     def own_peer(self) -> str:
-        """Where it listens for its peers."""
+        """Address on which the VM listens for peers."""
         return f"{self.vm}:{self.peer_port}"
 
     @property
     def outside(self) -> str:
-        """Where its link for everybody but VMs listens."""
+        """Address of the link through which clients reach the VM."""
         return self.callers or self.control
 
     @property
     def own_outside(self) -> str:
-        """Where that link leads."""
+        """Address on which the VM itself listens for clients."""
         return self.own_callers or self.own_control
 
 
 def vms(core: tuple[str, ...] = CORE) -> dict[str, VmAddresses]:
-    """Returns the VMs of a site, on ports that are kept for it."""
+    """Returns the VMs of a site, with ports allocated for them."""
     found = {}
     for vm in core:
         peer, outside, own = ports.free_ports(3)
@@ -90,7 +91,7 @@
 
 
 def links(found: dict[str, VmAddresses]) -> dict[str, tuple[str, str]]:
-    """Returns where each link listens and where it leads, by its name."""
+    """Returns the listen and target addresses of each link, by its name."""
     wanted = {}
     for source in found.values():
         wanted[outside_link(source.vm)] = (source.outside, source.own_outside)
@@ -118,7 +119,7 @@
     founding: bool,
     seed_vms: tuple[str, ...] = CORE,
 ) -> pathlib.Path:
-    """Writes the settings file of a VM as the platform's template does."""
+    """Writes the settings file of a VM like the platform's template."""
     seeds = ", ".join(f'"{vm}:1"' for vm in seed_vms)
     lines = [
         f'name = "{one.vm}"',
@@ -141,10 +142,10 @@
         f"key_revoked_ms = {KEY_REVOKED_MS}",
     ]
     path = settings_path(folder, one.vm)
-    # Its daemon may be starting, and must not find half of the file.
-    aside = path.with_suffix(".new")
-    aside.write_text("\n".join(lines) + "\n")
-    aside.replace(path)
+    # A daemon that is starting must not read a partly written file.
+    temporary = path.with_suffix(".new")
+    temporary.write_text("\n".join(lines) + "\n")
+    temporary.replace(path)
     return path
 
 
@@ -154,5 +155,5 @@
 
 
 def data_folder(folder: pathlib.Path, vm: str) -> pathlib.Path:
-    """Returns where a core VM keeps its state."""
+    """Returns the data folder of a core VM."""
     return folder / f"data-{vm}"
--- a/laburnumsill/platform/tests/soak/main.py
+++ b/laburnumsill/platform/tests/soak/main.py
@@ -1,8 +1,8 @@
-"""Soaks of real daemons with random troubles, one after the other or more.
+"""Soaks of real daemons with random troubles, sequentially or in parallel.
 
-`python -m laburnumsill.platform.tests.soak.main --seeds 1-50` plays fifty;
-`--fresh 10` draws ten new ones. The folder of a broken one is kept and named,
-with all logs of its daemons.
+`python -m laburnumsill.platform.tests.soak.main --seeds 1-50` runs fifty soaks;
+`--fresh 10` draws ten new seeds. If a soak breaks a promise, its folder with
+the logs of all daemons is kept and its path printed.
 """
 
 import argparse
@@ -29,39 +29,39 @@
 FIRST = "first"
 ALL = "all"
 SPARE = "spare"
-"""Names of choices of troubles, see `troubles.CHOICES`."""
+"""Names of sets of troubles, see `troubles.CHOICES`."""
 
 MEAN_GAP_S = 0.9
-"""Between the beginnings of two troubles, so that they overlap."""
+"""Mean time between the starts of two troubles, short enough for overlaps."""
 
 MEAN_SILENCE_GAP_S = 4.0
-"""Between two moments at which all open connections go silent: time enough
-for all of them to be replaced, mostly."""
+"""Mean time between two troubles that silence all open connections; usually
+enough for all connections to be replaced."""
 
-LOOK_EVERY_S = 0.05
-"""How often the soak looks how late its own loop is."""
+LAG_INTERVAL_S = 0.05
+"""Interval at which the lag of the soak's own event loop is measured."""
 
-SAID_BY_A_FAILURE = ("Traceback", "event=daemon-failed")
+FAILURE_MARKERS = ("Traceback", "event=daemon-failed")
 
-LAST_WORDS = 300
-"""Characters of the log of a daemon that ended which are told."""
+LOG_TAIL_CHARS = 300
+"""Number of final log characters reported for a daemon that ended."""
 
 
 @dataclasses.dataclass(slots=True)
 class Verdict:
-    """What one soak showed.
+    """Result of a soak.
 
     Attributes:
-        seed: Its seed.
+        seed: The seed of the soak.
         broken: One line for each broken promise.
         kinds: The troubles, in the order in which they began.
-        jobs: How many jobs were sent.
-        completed: How many of them were shown as completed.
-        answers: How many calls got each status; 0 stands for no answer.
-        late_s: How late the soak's own loop was at worst and usually (the
-            mean). Proxies, workers and callers are that late too, so a site
-            that did not get on while it was says nothing of the daemons.
-        folder: Logs and data.
+        jobs: Number of submitted jobs.
+        completed: Number of jobs reported as completed.
+        answers: Number of calls by status; 0 stands for no answer.
+        late_s: Maximum and mean lag of the soak's own event loop. Proxies,
+            workers and callers share the loop, so a lack of progress during a
+            large lag is no evidence against the daemons.
+        folder: Folder with logs and data.
     """
 
     seed: int
@@ -92,15 +92,15 @@
     has_crashing_tasks: bool = False,
     has_spare: bool = False,
 ) -> Verdict:
-    """Plays one soak.
+    """Runs one soak.
 
     Args:
-        seed: Of the troubles and the callers.
-        seconds: Troubles come for so long.
-        folder: For settings, logs and data; empty.
-        choice: The kinds that are drawn from.
+        seed: Seed of the troubles and the callers.
+        seconds: Duration of the phase with troubles.
+        folder: Empty folder for settings, logs and data.
+        choice: The troubles to draw from.
         has_crashing_tasks: Whether some tasks crash their workers.
-        has_spare: Whether a core VM stands by.
+        has_spare: Whether the core has a spare VM.
     """
     kinds: list[str] = []
     lags: list[float] = []
@@ -108,21 +108,21 @@
         site = sites.SoakSite(
             folder, seed, nursery, has_crashing_tasks, has_spare
         )
-        nursery.start_soon(_watch_loop, lags)
+        nursery.start_soon(_measure_lag, lags)
         try:
             await site.start()
             witness = witnesses.Witness(site)
             await witness.configure_first()
-            site.turn_seeds_over()
+            site.replace_seeds()
             site.disturb_core()
             await _play(site, witness, seconds, kinds, choice)
-            broken = _ended(site)
-            await witness.be_served_again()
-            await witness.be_in_force()
+            broken = _ended_daemons(site)
+            await witness.check_service()
+            await witness.check_last_configuration()
             await witness.settle()
             await witness.aclose()
             broken += [*site.oracle.broken, *witness.broken]
-            broken += _ended(site) + _complaints(site)
+            broken += _ended_daemons(site) + _logged_failures(site)
         finally:
             site.stop()
             nursery.cancel_scope.cancel()
@@ -138,10 +138,10 @@
     )
 
 
-async def _watch_loop(lags: list[float]) -> None:
-    """Notes how late this loop wakes a task that sleeps."""
+async def _measure_lag(lags: list[float]) -> None:
+    """Measures the lag of this event loop when it wakes a sleeping task."""
     while True:
-        due = trio.current_time() + LOOK_EVERY_S
+        due = trio.current_time() + LAG_INTERVAL_S
         await trio.sleep_until(due)
         lags.append(trio.current_time() - due)
 
@@ -153,11 +153,11 @@
     kinds: list[str],
     choice: abc.Sequence[type[troubles.Trouble]],
 ) -> None:
-    """Lets troubles come beside the calls, and waits until all are over."""
+    """Plays random troubles during the calls and waits until all have ended."""
     async with trio.open_nursery() as callers:
         callers.start_soon(witness.run)
         end = trio.current_time() + seconds
-        callers.start_soon(_silence_now_and_then, site, kinds)
+        callers.start_soon(_silence_connections, site, kinds)
         async with trio.open_nursery() as running:
             while True:
                 gap_s = site.random.expovariate(1 / MEAN_GAP_S)
@@ -170,8 +170,8 @@
         callers.cancel_scope.cancel()
 
 
-async def _silence_now_and_then(site: sites.SoakSite, kinds: list[str]) -> None:
-    """Lets all open connections go silent beside the other troubles."""
+async def _silence_connections(site: sites.SoakSite, kinds: list[str]) -> None:
+    """Silences open connections at random times, beside the other troubles."""
     source = random.Random(site.seed)
     while True:
         await trio.sleep(source.expovariate(1 / MEAN_SILENCE_GAP_S))
@@ -179,28 +179,28 @@
         await troubles.SilenceAll(site, source).run()
 
 
-def _ended(site: sites.SoakSite) -> list[str]:
-    """Returns which daemons do not run, though each trouble undoes itself."""
+def _ended_daemons(site: sites.SoakSite) -> list[str]:
+    """Returns a line for each daemon that ended without being killed."""
     return [
         f"FAULT {vm} ended by itself with {process.wait(0)}:"
-        f" {process.log_text()[-LAST_WORDS:]!r}"
+        f" {process.log_text()[-LOG_TAIL_CHARS:]!r}"
         for vm, process in site.processes.items()
         if not process.running
     ]
 
 
-def _complaints(site: sites.SoakSite) -> list[str]:
-    """Returns what daemons say of failures of their own."""
+def _logged_failures(site: sites.SoakSite) -> list[str]:
+    """Returns the log lines in which daemons report internal failures."""
     found = []
     for vm, process in site.processes.items():
         for line in process.log_text().splitlines():
-            if any(word in line for word in SAID_BY_A_FAILURE):
+            if any(word in line for word in FAILURE_MARKERS):
                 found.append(f"FAULT {vm}: {line[:200]}")
     return found
 
 
 async def _play_all(seeds: list[int], seconds: float, kinds: str) -> bool:
-    """Plays one soak after the other; returns whether all were kept."""
+    """Runs soaks sequentially and returns whether all promises were kept."""
     kept = True
     top = pathlib.Path(tempfile.mkdtemp(prefix="soak-"))
     for seed in seeds:
@@ -226,10 +226,10 @@
 def play_in_processes(
     seeds: list[int], jobs: int, seconds: float, kinds: str = FIRST
 ) -> bool:
-    """Plays soaks side by side, each with a process and a loop of its own.
+    """Runs soaks in parallel, each in its own process with its own event loop.
 
-    Links, workers and callers of a soak share one loop. Three soaks in one
-    loop made each of its turns 0.05 s late, orders and commits took 0.5 s, and
+    Links, workers and callers of a soak share one loop. With three soaks in one
+    loop, each iteration lagged by 0.05 s, orders and commits took 0.5 s, and
     jobs did not end.
 
     Returns:
@@ -253,7 +253,7 @@
 
 
 def _seeds(text: str, fresh: int) -> list[int]:
-    """Returns the seeds that `text` names, and so many fresh ones.
+    """Returns the seeds listed in `text` and `fresh` new random ones.
 
     Examples:
         >>> _seeds("3-5,9", 0)
@@ -267,18 +267,22 @@
 
 
 def main() -> None:
-    """Plays what the arguments ask for; the exit code is 1 if one broke."""
+    """Runs the requested soaks; exits with 1 if a promise was broken."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", default="", help="such as 1-50,77")
-    parser.add_argument("--fresh", type=int, default=0, help="so many new ones")
-    parser.add_argument("--jobs", type=int, default=1, help="side by side")
+    parser.add_argument(
+        "--fresh", type=int, default=0, help="number of new seeds"
+    )
+    parser.add_argument(
+        "--jobs", type=int, default=1, help="parallel processes"
+    )
     parser.add_argument("--seconds", type=float, default=DEFAULT_SECONDS)
     parser.add_argument(
         "--kinds",
         choices=troubles.CHOICES,
         default=FIRST,
-        help="of troubles; all: with tasks that crash their workers;"
-        " spare: the same with a core VM that stands by",
+        help="set of troubles; all: with tasks that crash their workers;"
+        " spare: the same with a spare core VM",
     )
     given = parser.parse_args()
     seeds = _seeds(given.seeds, given.fresh)
--- a/laburnumsill/platform/tests/soak/site.py
+++ b/laburnumsill/platform/tests/soak/site.py
@@ -1,4 +1,4 @@
-"""A site of real daemons behind proxies, with emulated workers in this loop."""
+"""Site of real daemon processes behind proxies, with in-process workers."""
 
 import collections
 import dataclasses
@@ -29,31 +29,32 @@
 SHORT_WORK_S = (0.2, 1.5)
 LONG_WORK_S = (4.0, 7.0)
 LONG_SHARE = 0.15
-"""Of the tasks; long ones still run where a worker is cut off for seconds."""
+"""Share of long tasks, which are still running when a worker has been cut off
+for seconds."""
 
 SLOWEST_CLOCK = 0.98
-"""Workers' steady clocks may be 2% slow."""
+"""Minimum rate of the workers' monotonic clocks, which may be 2% slow."""
 
-ANNOUNCE_S = 0.5
-"""Workers announce themselves so often; the users' do each 1.5 s."""
+ANNOUNCE_INTERVAL_S = 0.5
+"""Interval between announcements of a worker; 1.5 s on the users' sites."""
 
 STOP_S = (0.05, 0.4)
-"""How long a worker takes to stop a run; at most 0.2 and 0.9 s on the users'
-sites."""
+"""Range of the time in which a worker stops a run; on the users' sites the
+maximum is 0.2 or 0.9 s."""
 
 RESTART_S = (0.3, 2.0)
-"""A worker that crashed is back after so long, at least and at most."""
+"""Range of the time until a crashed worker starts again."""
 
 TORN_BYTES = 40
-"""Bytes of a write that was under way: less than any record of the log."""
+"""Size of a torn write, which is smaller than any record of the log."""
 
 SERVER_GRACE_S = 0.1
-CALM_WITHIN_S = 40.0
-"""The core is waited for so long: troubles of 4 s overlap on it."""
+CALM_TIMEOUT_S = 40.0
+"""Timeout for the core to recover, while troubles of 4 s overlap."""
 
-CATCH_UP_S = 5.0
-"""A core VM counts as lost for so long after it serves again; the users allow
-4 s after its start, on machines that do nothing else."""
+CATCH_UP_TIME_S = 5.0
+"""Time after which a core VM that serves again no longer counts as lost. The
+users allow 4 s after its start, on machines without other load."""
 
 
 _PROGRAMS = {
@@ -64,12 +65,12 @@
 
 @dataclasses.dataclass(slots=True)
 class Announcer:
-    """What a worker says of itself.
+    """State of a worker's announcements.
 
     Attributes:
-        app: Serves the incarnation that is there now.
-        state: As the wire has it.
-        sequence: Of the last announcement.
+        app: Serves the current incarnation.
+        state: The state on the wire.
+        sequence: Sequence number of the last announcement.
     """
 
     app: standin.ExecutorApp
@@ -78,16 +79,16 @@
 
 
 class SoakSite:
-    """Processes, links and workers of one soak.
+    """Processes, links and workers of a soak.
 
     Args:
-        folder: For settings, logs and data.
-        seed: Of all that is random here.
+        folder: Folder for settings, logs and data.
+        seed: Seed of the random generator.
         nursery: Runs the proxies and the workers.
         has_crashing_tasks: Whether some tasks crash their workers, and
-            workers may start again under their ids.
-        has_spare: Whether there is a core VM beyond those that vote, which
-            the settings name among the seeds once the site has started.
+            workers may restart under the same id.
+        has_spare: Whether the core has a spare VM that is not an initial
+            voter. It is listed among the seeds once the site has started.
     """
 
     def __init__(
@@ -132,7 +133,7 @@
         self.incarnations = 0
 
     async def start(self) -> None:
-        """Starts everything; the site has no configuration yet."""
+        """Starts all daemons and workers; the site has no configuration yet."""
         await self.proxy.start(self.nursery)
         for name, (listen, target) in layout.links(self.vms).items():
             self.proxy.add_link(name, listen, target)
@@ -143,7 +144,7 @@
             await self._start_worker(f"w{number}", f"r{number // PER_RACK}")
 
     def start_vm(self, vm: str, founding: bool = False) -> None:
-        """Starts the daemon of a VM, or starts it again."""
+        """Starts or restarts the daemon of a VM."""
         one = self.vms[vm]
         if one.role == "core":
             layout.data_folder(self.folder, vm).mkdir(exist_ok=True)
@@ -161,14 +162,14 @@
             self.suspended_s[vm] = 0.0
             self.processes[vm].start()
 
-    def turn_seeds_over(self) -> None:
-        """Names the spare VM among the seeds, where there is one."""
+    def replace_seeds(self) -> None:
+        """Lists the spare VM among the seeds if the site has one."""
         self.seed_vms = self.core[-len(layout.CORE) :]
         for one in self.vms.values():
             layout.write_settings(self.folder, one, False, self.seed_vms)
 
-    def wake(self, vm: str, slept_s: float) -> None:
-        """Continues a daemon whose steady clock did not count the time."""
+    def resume_suspended(self, vm: str, slept_s: float) -> None:
+        """Resumes a daemon whose monotonic clock excludes the suspension."""
         self.suspended_s[vm] += slept_s
         settings = layout.settings_path(self.folder, vm)
         marker = daemon_on_machine.suspended_marker(settings)
@@ -182,11 +183,11 @@
         return crashes and is_first
 
     def fill_disk(self, vm: str) -> None:
-        """Lets a core VM write nothing more."""
+        """Makes all writes of a core VM fail."""
         self._full_marker(vm).touch()
 
-    def make_room(self, vm: str) -> None:
-        """Lets a core VM write again."""
+    def free_disk(self, vm: str) -> None:
+        """Lets a core VM write to its disk again."""
         self._full_marker(vm).unlink(missing_ok=True)
 
     def _full_marker(self, vm: str) -> pathlib.Path:
@@ -194,12 +195,12 @@
             layout.settings_path(self.folder, vm)
         )
 
-    def wipe(self, vm: str) -> None:
-        """Takes the disk of a VM that is down."""
+    def wipe_disk(self, vm: str) -> None:
+        """Deletes the data of a VM that is down."""
         shutil.rmtree(layout.data_folder(self.folder, vm))
 
     def tear_log(self, vm: str) -> None:
-        """Leaves part of a write at the end of a dead VM's newest log file."""
+        """Appends a torn write to the newest log files of a VM that is down."""
         folder = layout.data_folder(self.folder, vm)
         for path in folder.glob("**/log-*"):
             newest = max(path.parent.glob("log-*"))
@@ -209,7 +210,7 @@
                     file.write(torn)
 
     def stop(self) -> None:
-        """Ends all daemons."""
+        """Kills all daemons."""
         for process in self.processes.values():
             process.kill()
 
@@ -222,27 +223,27 @@
         ]
 
     def disturb_core(self) -> None:
-        """Notes that the core is disturbed now."""
+        """Records the current time as the last disturbance of the core."""
         self.disturbed_at = trio.current_time()
 
     async def until_core_is_calm(self) -> bool:
-        """Waits until all disks hold the same, so that one may be lost.
+        """Waits until the core has caught up, so that a disk may be lost.
 
-        A VM is back only when it serves: under load a daemon takes more than
-        a second to start.
+        A VM counts as recovered only once it serves, since under load a daemon
+        takes more than a second to start.
 
         Returns:
-            Whether they do; a core that has come to nothing never will.
+            Whether the core recovered within `CALM_TIMEOUT_S`.
         """
-        with trio.move_on_after(CALM_WITHIN_S) as scope:
-            while trio.current_time() - self.disturbed_at < CATCH_UP_S:
+        with trio.move_on_after(CALM_TIMEOUT_S) as scope:
+            while trio.current_time() - self.disturbed_at < CATCH_UP_TIME_S:
                 if not await self._core_answers():
                     self.disturb_core()
                 await trio.sleep(0.1)
         return not scope.cancelled_caught
 
     async def _core_answers(self) -> bool:
-        """Whether each core VM reads the configuration from a quorum."""
+        """Returns whether each core VM reads the configuration by quorum."""
         for vm in self.core:
             status, _ = await self.operator.call(
                 "GET", "/-/config", address=self.vms[vm].control
@@ -252,15 +253,15 @@
         return True
 
     def order_link(self, worker: str) -> str:
-        """Returns the name of the link on which a worker gets its orders."""
+        """Returns the name of the link on which a worker receives orders."""
         return f"orders>{worker}"
 
     def replace_worker(self, name: str, keeps_id: bool = False) -> None:
-        """Ends a worker's incarnation; another begins at its address.
+        """Replaces a worker by a new incarnation at the same address.
 
         Args:
-            name: The worker.
-            keeps_id: Whether the other one has the same id on the wire.
+            name: The name of the worker.
+            keeps_id: Whether the new incarnation has the same id on the wire.
         """
         app = self.announcers[name].app
         old = app.worker
@@ -270,7 +271,7 @@
         wire_id = f"{name}-{self.incarnations}"
         if keeps_id:
             wire_id = standin.wire_id(old)
-        app.worker = self._born(
+        app.worker = self._add_worker(
             msgspec.structs.replace(
                 old.worker, worker_id=wire_id, capacity=CAPACITY
             )
@@ -291,8 +292,8 @@
         if self.announcers[name].app.worker is crashed:
             self.replace_worker(name, self.random.random() < 0.5)
 
-    def _born(self, worker: model.Worker) -> emulated.EmulatedWorker:
-        """Adds a worker, which says when it began if that is played."""
+    def _add_worker(self, worker: model.Worker) -> emulated.EmulatedWorker:
+        """Adds a worker, which sends its start time if tasks may crash it."""
         if not self.has_crashing_tasks:
             return self.pool.add(worker, self._behaviour())
         born_ms = int(time.time() * 1000)
@@ -322,7 +323,7 @@
             ("a", rack),
             rack,
         )
-        app = standin.ExecutorApp(self._born(worker))
+        app = standin.ExecutorApp(self._add_worker(worker))
         self.announcers[name] = Announcer(app)
         await self.nursery.start(
             server.serve,
@@ -338,30 +339,30 @@
         while True:
             worker = announcer.app.worker
             if worker.is_down:
-                await trio.sleep(ANNOUNCE_S)
+                await trio.sleep(ANNOUNCE_INTERVAL_S)
                 continue
             announcer.sequence += 1
             path = f"/-/instances/{standin.wire_id(worker)}"
             body = standin.heartbeat(
                 worker, announcer.sequence, state=announcer.state
             )
-            for place in range(len(self.core)):
-                vm = self.core[(first + place) % len(self.core)]
+            for offset in range(len(self.core)):
+                vm = self.core[(first + offset) % len(self.core)]
                 status, _ = await self.operator.call(
                     "PUT", path, body, self.vms[vm].control
                 )
                 if status == 200:
                     break
-            await trio.sleep(ANNOUNCE_S)
+            await trio.sleep(ANNOUNCE_INTERVAL_S)
 
 
 def _work_s(task: model.TaskId) -> float:
-    """Returns how long a task takes, the same for all its runs."""
+    """Returns the duration of a task, which is the same for all its runs."""
     source = random.Random(zlib.crc32(str(task).encode()))
     is_long = source.random() < LONG_SHARE
     return source.uniform(*(LONG_WORK_S if is_long else SHORT_WORK_S))
 
 
 def is_hopeless(task: model.TaskId) -> bool:
-    """Returns whether a task always fails: one job in sixteen."""
+    """Returns whether a task always fails, as in one job of sixteen."""
     return task.job_id.endswith("f")
--- a/laburnumsill/platform/tests/soak/troubles.py
+++ b/laburnumsill/platform/tests/soak/troubles.py
@@ -1,4 +1,4 @@
-"""Troubles of a soak; each is one run of a class with its own way to end."""
+"""Troubles of a soak: faults that are injected and removed again."""
 
 import abc
 import random
@@ -10,54 +10,55 @@
 from laburnumsill.platform.tests.soak import site as sites
 from laburnumsill.testing import proxy as proxies
 
-BLACK_HOLES = (
+CUT_FAULTS = (
     proxies.Fault(proxies.Mode.DROP),
     proxies.Fault(proxies.Mode.HOLD),
     proxies.Fault(proxies.Mode.RESET),
     proxies.Fault(proxies.Mode.CUT),
 )
 
-SHORTEST_S = 0.2
-LONGEST_S = 4.0
-"""How long a trouble lasts, in seconds: below and above what elections (0.8 s)
-and leases (4 s here) take."""
+MIN_DURATION_S = 0.2
+MAX_DURATION_S = 4.0
+"""Range of the duration of a trouble, in seconds: below and above the times of
+elections (0.8 s) and leases (4 s in a soak)."""
 
-GIVE_WAY_S = (2.0, LONGEST_S)
-"""A voter gives way after 1.5 s of silence."""
+GIVE_WAY_S = (2.0, MAX_DURATION_S)
+"""Range of the downtime in `GiveWay`; a voter is replaced by a spare VM after
+1.5 s without contact."""
 
-LONGEST_DARK_S = 1.5
-"""All of the core is down for so long at most, in seconds."""
+MAX_CORE_DOWNTIME_S = 1.5
+"""Maximum downtime of the whole core."""
 
-RESTART_GAP_S = 0.3
-"""Longest time from the start of one daemon to that of the next."""
+MAX_START_GAP_S = 0.3
+"""Maximum time between the starts of two daemons."""
 
 SHUTDOWN_S = 6.0
-"""From SIGTERM to SIGKILL, as on the users' sites."""
+"""Time from SIGTERM to SIGKILL, as on the users' sites."""
 
-LOOK_EVERY_S = 0.05
-"""How often it is looked whether a daemon has ended."""
+POLL_INTERVAL_S = 0.05
+"""Interval at which a stopping daemon is polled."""
 
 DRAIN_S = 1.5
-"""A worker drains for so long before it ends."""
+"""Time for which a worker drains before it ends."""
 
 
 class Trouble(abc.ABC):
-    """Something bad that begins, lasts and ends.
+    """A fault that is injected, lasts for some time and is removed.
 
     Args:
-        site: Where; it draws what is left open, too.
+        site: The affected site; its random generator selects the details.
     """
 
-    concerns_workers = False
-    """Whether it leaves the VMs alone."""
+    affects_workers_only = False
+    """Whether the trouble affects only workers, no VMs."""
 
     def __init__(self, site: sites.SoakSite) -> None:
         self._site = site
         self._random = site.random
 
     async def run(self) -> None:
-        """Does it, unless the VMs are to be left alone just now."""
-        if self.concerns_workers:
+        """Plays the trouble, unless it affects VMs while `keep_calm` is set."""
+        if self.affects_workers_only:
             await self._play()
         elif not self._site.keep_calm:
             self._site.disturb_core()
@@ -66,7 +67,7 @@
 
     @abc.abstractmethod
     async def _play(self) -> None:
-        """Does it, and undoes it."""
+        """Injects the fault and removes it."""
 
     def _core_vm(self) -> str:
         return self._random.choice(self._site.core)
@@ -74,23 +75,23 @@
     def _any_vm(self) -> str:
         return self._random.choice([*self._site.core, *layout.ENTRIES])
 
-    async def _last(self) -> None:
-        await trio.sleep(self._random.uniform(SHORTEST_S, LONGEST_S))
+    async def _wait(self) -> None:
+        await trio.sleep(self._random.uniform(MIN_DURATION_S, MAX_DURATION_S))
 
 
 class Kill(Trouble):
-    """SIGKILL of one daemon, in the middle of a write to its disk."""
+    """Kills one daemon with SIGKILL during a write to its disk."""
 
     async def _play(self) -> None:
         vm = self._any_vm()
         self._site.processes[vm].kill()
         self._site.tear_log(vm)
-        await self._last()
+        await self._wait()
         self._site.start_vm(vm)
 
 
 class GiveWay(Trouble):
-    """A core VM is down for so long that one that stands by takes its place."""
+    """Keeps a core VM down until a spare VM has replaced it as a voter."""
 
     async def _play(self) -> None:
         vm = self._core_vm()
@@ -100,7 +101,7 @@
 
 
 class KillAll(Trouble):
-    """SIGKILL of all daemons of the core, or of the whole site."""
+    """Kills all daemons of the core, or of the whole site, with SIGKILL."""
 
     async def _play(self) -> None:
         vms = [*self._site.core]
@@ -108,15 +109,17 @@
             vms += layout.ENTRIES
         for vm in vms:
             self._site.processes[vm].kill()
-        await trio.sleep(self._random.uniform(SHORTEST_S, LONGEST_DARK_S))
+        await trio.sleep(
+            self._random.uniform(MIN_DURATION_S, MAX_CORE_DOWNTIME_S)
+        )
         self._random.shuffle(vms)
         for vm in vms:
             self._site.start_vm(vm)
-            await trio.sleep(self._random.uniform(0.0, RESTART_GAP_S))
+            await trio.sleep(self._random.uniform(0.0, MAX_START_GAP_S))
 
 
 class Terminate(Trouble):
-    """SIGTERM of one daemon, then its next life."""
+    """Ends one daemon with SIGTERM and starts it again."""
 
     async def _play(self) -> None:
         vm = self._any_vm()
@@ -124,29 +127,29 @@
         process.terminate()
         with trio.move_on_after(SHUTDOWN_S):
             while process.running:  # noqa: ASYNC110
-                await trio.sleep(LOOK_EVERY_S)
+                await trio.sleep(POLL_INTERVAL_S)
         process.kill()
         self._site.start_vm(vm)
 
 
 class Pause(Trouble):
-    """SIGSTOP of one daemon, and SIGCONT."""
+    """Pauses one daemon with SIGSTOP and resumes it with SIGCONT."""
 
     async def _play(self) -> None:
         vm = self._any_vm()
         process = self._site.processes[vm]
         if process.running:
             process.pause()
-        await self._last()
+        await self._wait()
         if process.running:
             process.resume()
 
 
 class LoseDisk(Trouble):
-    """A core VM dies and comes back with an empty disk.
+    """Kills a core VM and starts it again with an empty disk.
 
-    Only while all others hold everything: more is not tolerated. Once the
-    disk is lost, other troubles may come again.
+    Only one lost disk is tolerated, so the others must have caught up before.
+    Other troubles may begin again as soon as the disk is lost.
     """
 
     async def run(self) -> None:
@@ -161,24 +164,26 @@
     async def _play(self) -> None:
         vm = self._core_vm()
         self._site.processes[vm].kill()
-        self._site.wipe(vm)
+        self._site.wipe_disk(vm)
         self._site.disturb_core()
         self._site.keep_calm = False
-        await self._last()
+        await self._wait()
         self._site.start_vm(vm)
         self._site.disturb_core()
 
 
 class LoseDiskAndPower(LoseDisk):
-    """All VMs lose power, and one of the core its disk as well."""
+    """Cuts the power of all VMs; one core VM also loses its disk."""
 
     async def _play(self) -> None:
         vms = [*self._site.core, *layout.ENTRIES]
         for vm in vms:
             self._site.processes[vm].kill()
-        self._site.wipe(self._core_vm())
+        self._site.wipe_disk(self._core_vm())
         self._site.disturb_core()
-        await trio.sleep(self._random.uniform(SHORTEST_S, LONGEST_DARK_S))
+        await trio.sleep(
+            self._random.uniform(MIN_DURATION_S, MAX_CORE_DOWNTIME_S)
+        )
         self._random.shuffle(vms)
         for vm in vms:
             self._site.start_vm(vm)
@@ -187,7 +192,7 @@
 
 
 class Suspend(Trouble):
-    """A VM is suspended; its steady clock stands still meanwhile."""
+    """Suspends a VM, whose monotonic clock stops meanwhile."""
 
     async def _play(self) -> None:
         vm = self._any_vm()
@@ -196,27 +201,27 @@
             return
         process.pause()
         paused, began = process.pid, trio.current_time()
-        await self._last()
+        await self._wait()
         if process.running and process.pid == paused:
-            self._site.wake(vm, trio.current_time() - began)
+            self._site.resume_suspended(vm, trio.current_time() - began)
 
 
 class CutVm(Trouble):
-    """One VM is cut off from the others: silently, held, reset or refused."""
+    """Cuts one VM off: its links drop, hold, reset or refuse connections."""
 
     async def _play(self) -> None:
         vm = self._any_vm()
-        fault = self._random.choice(BLACK_HOLES)
+        fault = self._random.choice(CUT_FAULTS)
         names = self._site.links_of(vm)
         for name in names:
             self._site.proxy.set_fault(name, fault)
-        await self._last()
+        await self._wait()
         for name in names:
             self._site.proxy.heal(name)
 
 
 class CutOneWay(Trouble):
-    """What one VM sends on some of its links arrives nowhere."""
+    """Drops all data that one VM sends to the other VMs."""
 
     async def _play(self) -> None:
         vm = self._any_vm()
@@ -230,19 +235,19 @@
             )
             fault = proxies.Fault(proxies.Mode.DROP)
             self._site.proxy.set_fault(name, fault, direction)
-        await self._last()
+        await self._wait()
         for name in names:
             self._site.proxy.heal(name)
 
 
 class SlowLinks(Trouble):
-    """Some links are delayed, or cut again and again after some bytes."""
+    """Delays some links, or cuts each of their connections after some bytes."""
 
     async def _play(self) -> None:
         names = self._random.sample(sorted(layout.links(self._site.vms)), 4)
         for name in names:
             self._site.proxy.set_fault(name, self._fault())
-        await self._last()
+        await self._wait()
         for name in names:
             self._site.proxy.heal(name)
 
@@ -254,15 +259,15 @@
 
 
 class SilenceAll(Trouble):
-    """All open connections go silent for good; new ones work.
+    """Silences open connections for good, while new connections work.
 
-    Those of one VM or of all, one way or both, and those to workers as well.
-    It has its own source of randomness, so that the seeds of soaks that broke
-    a promise bring the same other troubles as before it was added.
+    Affects the links of one VM or of all VMs and the order links of all
+    workers, in one direction or both. A separate random generator keeps the
+    other troubles of known seeds independent of this one.
 
     Args:
-        site: Where.
-        source: Draws what is left open.
+        site: The affected site.
+        source: The random generator that selects the details.
     """
 
     def __init__(self, site: sites.SoakSite, source: random.Random) -> None:
@@ -281,9 +286,9 @@
 
 
 class CutWorkers(Trouble):
-    """Some workers get no orders, or their answers are lost."""
+    """Cuts off some workers, which lose orders, answers or both."""
 
-    concerns_workers = True
+    affects_workers_only = True
 
     async def _play(self) -> None:
         count = self._random.randrange(1, 4)
@@ -294,15 +299,15 @@
         links = [self._site.order_link(name) for name in names]
         for link in links:
             self._site.proxy.set_fault(link, fault, direction)
-        await self._last()
+        await self._wait()
         for link in links:
             self._site.proxy.heal(link)
 
 
 class CrashWorker(Trouble):
-    """A worker's incarnation ends without a word, and another begins."""
+    """Crashes a worker and replaces it by an incarnation with a new id."""
 
-    concerns_workers = True
+    affects_workers_only = True
 
     async def _play(self) -> None:
         name = self._random.choice(sorted(self._site.announcers))
@@ -311,21 +316,21 @@
 
 
 class RestartWorkers(Trouble):
-    """Some workers crash, and start again under their ids at once."""
+    """Crashes some workers, which restart at once under the same ids."""
 
-    concerns_workers = True
+    affects_workers_only = True
 
     async def _play(self) -> None:
         names = self._random.sample(sorted(self._site.announcers), 2)
         for name in names:
             self._site.replace_worker(name, keeps_id=True)
-            await trio.sleep(self._random.uniform(0.0, RESTART_GAP_S))
+            await trio.sleep(self._random.uniform(0.0, MAX_START_GAP_S))
 
 
 class ShrinkWorkers(Trouble):
-    """Some workers have less room for a while, or none."""
+    """Reduces the capacity of some workers for a while, possibly to zero."""
 
-    concerns_workers = True
+    affects_workers_only = True
 
     async def _play(self) -> None:
         count = self._random.randrange(1, 4)
@@ -340,15 +345,15 @@
                     int(share * sites.CAPACITY.accelerators),
                 )
             )
-        await self._last()
+        await self._wait()
         for worker in shrunk:
             worker.resize(sites.CAPACITY)
 
 
 class DrainWorker(Trouble):
-    """A worker announces its end, drains, and another begins."""
+    """Drains a worker and replaces it."""
 
-    concerns_workers = True
+    affects_workers_only = True
 
     async def _play(self) -> None:
         name = self._random.choice(sorted(self._site.announcers))
@@ -358,16 +363,16 @@
 
 
 class FullDisks(Trouble):
-    """Some core VMs, often one and at times all, can write nothing."""
+    """Fills the disks of some core VMs: mostly one, sometimes all."""
 
     async def _play(self) -> None:
         count = self._random.choice((1, 1, 1, 2, len(self._site.core)))
         vms = self._random.sample(self._site.core, count)
         for vm in vms:
             self._site.fill_disk(vm)
-        await self._last()
+        await self._wait()
         for vm in vms:
-            self._site.make_room(vm)
+            self._site.free_disk(vm)
 
 
 KINDS: tuple[type[Trouble], ...] = (
@@ -383,7 +388,8 @@
     CrashWorker,
     DrainWorker,
 )
-"""What older seeds draw from; a new kind would make other soaks of them."""
+"""Troubles for the seeds of `BROKEN_ONCE`; adding a kind would change these
+soaks."""
 
 KINDS_WITH_DISKS: tuple[type[Trouble], ...] = (*KINDS, FullDisks, FullDisks)
 
@@ -398,10 +404,10 @@
     RestartWorkers,
     RestartWorkers,
 )
-"""What soaks with tasks that crash their workers draw from."""
+"""Troubles for soaks with tasks that crash their workers."""
 
 SPARE_KINDS = (*ALL_KINDS, *(4 * (GiveWay,)))
-"""What soaks with a core VM that stands by draw from."""
+"""Troubles for soaks with a spare core VM."""
 
 CHOICES = {
     "first": KINDS,
@@ -409,4 +415,4 @@
     "all": ALL_KINDS,
     "spare": SPARE_KINDS,
 }
-"""Kinds to draw from, by the names that the command line has for them."""
+"""Sets of troubles by their names on the command line."""
--- a/laburnumsill/platform/tests/soak/witness.py
+++ b/laburnumsill/platform/tests/soak/witness.py
@@ -1,7 +1,7 @@
-"""Callers and operators of a soak, and what they hold the site to.
+"""Callers and operators of a soak, which check the promises of the site.
 
-Only what is seen from outside counts: answers to calls here, and what the
-workers were told, which `emulator.oracle` judges.
+The checks use only what is visible from outside: the answers to calls here, and
+the orders that workers received, which `emulator.oracle` checks.
 """
 
 import dataclasses
@@ -14,57 +14,62 @@
 from laburnumsill.platform.tests.soak import layout
 from laburnumsill.platform.tests.soak import site as sites
 
-VISIBLE_S = 3.0
-"""An accepted job is known everywhere after so long."""
+VISIBILITY_TIMEOUT_S = 3.0
+"""Time after which an accepted job is visible through each entry."""
 
 IN_FORCE_S = 2.0
-"""An accepted configuration is read back everywhere after so long."""
+"""Time after which an accepted configuration is in force on each VM."""
 
 JOBS_PER_S = 2.0
-"""With the sizes below, about half of what the workers can do."""
+"""Mean rate of submissions; with the sizes below, about half the capacity of
+the workers."""
 
 ACCELERATORS = (1, 1, 2, 4, 8)
-"""What the tasks of a gang need, one as likely as the other."""
+"""Accelerators of a task of a gang, each value equally likely."""
 
 RACK_ACCELERATORS = sites.PER_RACK * sites.CAPACITY.accelerators
-"""A gang that needs more cannot have one rack; it would run at a third of its
-speed on several, and hold up the others for most of a soak."""
+"""Accelerators of a rack. A larger gang cannot require a single rack. A gang
+that spans racks runs at a third of its speed and would delay the others for
+most of a soak, so smaller gangs require one rack."""
 
 ATTEMPTS = 4
 PRIORITIES = {"urgent": 0, "sweep": 1, "batch": 2}
 FINAL = ("completed", "failed", "cancelled")
-MANY_LOST = 3
-"""A job may fail under one of whose tasks so many workers have ended; the
-users allow it from two on."""
+MIN_LOST_WORKERS = 3
+"""A job may fail once this number of workers has crashed while running one of
+its tasks; the users allow failure from two."""
 
 CANCEL_SHARE = 0.15
-SETTLE_WITHIN_S = 45.0
-"""After the last trouble: leases of 4 s, catching up, and all work left."""
+SETTLE_TIMEOUT_S = 45.0
+"""Timeout after the last trouble for leases of 4 s to expire, VMs to catch up
+and all jobs to end."""
 
-CONTACT_S = 3.0
-"""A VM counts as in touch after so long without a trouble."""
+RECONNECT_S = 3.0
+"""Time without troubles after which a VM counts as connected."""
 
-SOUND_DIGITS = 14
-"""A job whose id ends in a higher one may crash its workers or always fail."""
+ORDINARY_DIGITS = 14
+"""Number of final digits of job ids that mark ordinary jobs; jobs with a higher
+digit may crash their workers or always fail."""
 
 LAST_PATH = "/last/"
-"""Of a route that only the last configuration has."""
+"""Path of a route that only the last configuration has."""
 
 SERVED_AGAIN_S = 12.0
-"""A job is taken in so soon after the last trouble, as the users ask."""
+"""Time after the last trouble within which a job is accepted, as the users
+require."""
 
 
 @dataclasses.dataclass(slots=True)
 class Fate:
-    """What the callers know of one job.
+    """State of a job as known to the callers.
 
     Attributes:
-        job: As it was sent.
-        path: Its path.
-        accepted_at: When it was acknowledged, None if it was not.
-        maybe_accepted: Whether an attempt got no clear answer.
-        cancel_sent: Whether anybody asked for its end.
-        final: The last state that was shown, if it is a final one.
+        job: The submitted job.
+        path: The path of the job.
+        accepted_at: Time of the acknowledgement, None without one.
+        maybe_accepted: Whether an attempt has an unknown outcome.
+        cancel_sent: Whether a caller requested cancellation.
+        final: The final state that was reported, empty before.
     """
 
     job: model.Job
@@ -76,17 +81,17 @@
 
     @property
     def refused(self) -> bool:
-        """Whether all answers said that it never runs."""
+        """Whether all answers rejected the job, which then must never run."""
         return self.accepted_at is None and not self.maybe_accepted
 
 
 class Witness:
-    """Makes calls while troubles come, and collects broken promises.
+    """Makes calls during the troubles and records broken promises.
 
     Attributes:
         broken: One line for each broken promise.
-        fates: What is known of all jobs.
-        answers: How many calls got each status.
+        fates: The known states of all jobs.
+        answers: Number of calls by status.
     """
 
     def __init__(self, site: sites.SoakSite) -> None:
@@ -102,7 +107,7 @@
         self._sent = 0
 
     async def configure_first(self) -> None:
-        """Puts the first configuration in force, and waits for it."""
+        """Puts the first configuration in force and waits for all entries."""
         self._sent = self._acknowledged = 1
         document = standin.configuration(1)
         await self._site.operator.until(200, "PUT", "/-/config", document)
@@ -114,17 +119,17 @@
     async def run(self) -> None:
         """Makes calls until cancelled."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._submit_all_the_time, nursery)
-            nursery.start_soon(self._look_all_the_time)
-            nursery.start_soon(self._configure_all_the_time, nursery)
+            nursery.start_soon(self._submit_jobs, nursery)
+            nursery.start_soon(self._check_states)
+            nursery.start_soon(self._change_configurations, nursery)
 
-    async def be_served_again(self) -> None:
-        """Hands in a job after the last trouble, which is never cancelled.
+    async def check_service(self) -> None:
+        """Submits a job after the last trouble; it is never cancelled.
 
-        Troubles that overlap may leave no majority for all of a short soak,
-        and then it has refused everything, and rightly.
+        Overlapping troubles may leave no majority during all of a short soak,
+        and the site then correctly rejects all earlier jobs.
         """
-        fate = self._new_job(SOUND_DIGITS)
+        fate = self._new_job(ORDINARY_DIGITS)
         body = standin.job_body(fate.job)
         fate.maybe_accepted = True
         with trio.move_on_after(SERVED_AGAIN_S):
@@ -133,14 +138,14 @@
                     fate.accepted_at = trio.current_time()
                 await trio.sleep(0.2)
         if fate.accepted_at is None:
-            self._break(f"RECOVER {fate.path}: not taken in")
+            self._record_broken(f"RECOVER {fate.path}: not accepted")
 
-    async def be_in_force(self) -> None:
-        """Puts a last configuration in force; each entry has to have it.
+    async def check_last_configuration(self) -> None:
+        """Puts a last configuration in force and checks it on each entry.
 
-        Nothing is disturbed any more, so the bound on the time holds for all.
+        All troubles are over, so the time limit applies to all entries.
         """
-        await trio.sleep(CONTACT_S)
+        await trio.sleep(RECONNECT_S)
         self._sent += 1
         document = standin.configuration(self._sent)
         last = {**document["routes"][-1], "name": "last"}
@@ -149,34 +154,36 @@
         self._acknowledged = self._sent
         async with trio.open_nursery() as nursery:
             for address in self._callers.addresses:
-                nursery.start_soon(self._see_last_route, address)
+                nursery.start_soon(self._check_last_route, address)
 
-    async def _see_last_route(self, address: str) -> None:
+    async def _check_last_route(self, address: str) -> None:
         caller = standin.Caller([address])
         try:
             await caller.until(200, "GET", LAST_PATH, within=IN_FORCE_S)
         except trio.TooSlowError:
-            self._break(f"CONFIG {self._sent} is not in force at {address}")
+            self._record_broken(
+                f"CONFIG {self._sent} is not in force at {address}"
+            )
         await caller.aclose()
 
     async def settle(self) -> None:
-        """Waits for the end of all jobs, and looks at what is left."""
-        with trio.move_on_after(SETTLE_WITHIN_S):
+        """Waits for the end of all jobs and checks their final states."""
+        with trio.move_on_after(SETTLE_TIMEOUT_S):
             while any(self._is_open(fate) for fate in self.fates):
                 for fate in self.fates:
                     if self._is_open(fate):
-                        await self._look(fate)
+                        await self._check_state(fate)
                 await trio.sleep(0.1)
         for fate in self.fates:
             if self._is_open(fate):
-                self._break(f"LOST {fate.path}: no end was shown")
+                self._record_broken(f"LOST {fate.path}: no end was shown")
             if fate.final == "failed" and not self._may_fail(fate.job):
-                self._break(f"LOST {fate.path} is shown as failed")
+                self._record_broken(f"LOST {fate.path} is shown as failed")
             if fate.final == "cancelled" and not fate.cancel_sent:
-                self._break(f"LOST {fate.path} is shown as cancelled")
+                self._record_broken(f"LOST {fate.path} is shown as cancelled")
         for vm in self._site.core:
             await self._read_configuration(vm, 0.0)
-        self._look_for_refused()
+        self._check_refused()
 
     async def aclose(self) -> None:
         """Closes all connections."""
@@ -185,14 +192,14 @@
     def _is_open(self, fate: Fate) -> bool:
         return fate.accepted_at is not None and not fate.final
 
-    def _look_for_refused(self) -> None:
-        """A job that was refused every time may not have run."""
+    def _check_refused(self) -> None:
+        """Checks that no job ran that was rejected by all answers."""
         jobs = self._site.oracle.jobs
         for fate in self.fates:
             if fate.refused and jobs[fate.job.job_id].begun:
-                self._break(f"REFUSED {fate.path} has run")
+                self._record_broken(f"REFUSED {fate.path} has run")
 
-    async def _submit_all_the_time(self, nursery: trio.Nursery) -> None:
+    async def _submit_jobs(self, nursery: trio.Nursery) -> None:
         while True:
             await trio.sleep(self._random.expovariate(JOBS_PER_S))
             fate = self._new_job()
@@ -258,13 +265,13 @@
                 return
             await trio.sleep(0.2)
 
-    async def _look_all_the_time(self) -> None:
+    async def _check_states(self) -> None:
         while True:
             await trio.sleep(0.05)
             if self.fates:
-                await self._look(self._random.choice(self.fates))
+                await self._check_state(self._random.choice(self.fates))
 
-    async def _look(self, fate: Fate) -> None:
+    async def _check_state(self, fate: Fate) -> None:
         asked_at = trio.current_time()
         accepted_at = fate.accepted_at
         address = self._random.choice(self._callers.addresses)
@@ -272,20 +279,22 @@
             "GET", fate.path, address=address
         )
         self._count(status)
-        known_at = None if accepted_at is None else accepted_at + VISIBLE_S
+        known_at = (
+            None if accepted_at is None else accepted_at + VISIBILITY_TIMEOUT_S
+        )
         if status == 410 and known_at is not None and asked_at > known_at:
-            self._break(f"LOST {fate.path}: 410 through {address}")
+            self._record_broken(f"LOST {fate.path}: 410 through {address}")
         if status != 200:
             return
         state = answer["state"]
         if fate.final and state != fate.final:
-            self._break(f"LOST {fate.path}: {fate.final}, then {state}")
+            self._record_broken(f"LOST {fate.path}: {fate.final}, then {state}")
         now = trio.current_time()
         self._site.oracle.shown(fate.job.job_id, state, now)
         if state in FINAL:
             fate.final = state
 
-    async def _configure_all_the_time(self, nursery: trio.Nursery) -> None:
+    async def _change_configurations(self, nursery: trio.Nursery) -> None:
         while True:
             await trio.sleep(self._random.uniform(0.1, 0.8))
             await self._change_configuration()
@@ -305,11 +314,13 @@
                 self._acknowledged = version
                 return
             if 400 <= status < 500:
-                self._break(f"CONFIG {version} is refused with {status}")
+                self._record_broken(
+                    f"CONFIG {version} is refused with {status}"
+                )
                 return
 
     async def _read_configuration(self, vm: str, after_s: float) -> None:
-        """Asks a VM for the configuration; an older one breaks a promise."""
+        """Checks that a VM has no older configuration than acknowledged."""
         wanted = self._acknowledged
         await trio.sleep(after_s)
         address = self._site.vms[vm].control
@@ -319,7 +330,9 @@
         self._count(status)
         if status == 200 and document["version"] < wanted:
             found = document["version"]
-            self._break(f"CONFIG {found} at {vm}, {wanted} was acknowledged")
+            self._record_broken(
+                f"CONFIG {found} at {vm}, {wanted} was acknowledged"
+            )
 
     async def _call(self, method: str, path: str, body=None) -> int:
         address = self._random.choice(self._callers.addresses)
@@ -330,12 +343,12 @@
     def _count(self, status: int) -> None:
         self.answers[status] = self.answers.get(status, 0) + 1
         if status == 500:
-            self._break("FAULT 500 was answered")
+            self._record_broken("FAULT 500 was answered")
 
     def _shuffled(self, addresses: list[str]) -> list[str]:
         return self._random.sample(addresses, len(addresses))
 
-    def _break(self, text: str) -> None:
+    def _record_broken(self, text: str) -> None:
         self.broken.append(f"{trio.current_time():.3f} {text}")
 
     def _may_fail(self, job: model.Job) -> bool:
@@ -345,13 +358,13 @@
             for index in range(step.tasks)
         ]
         return any(map(sites.is_hopeless, tasks)) or any(
-            self._lost_workers(task) >= MANY_LOST for task in tasks
+            self._lost_workers(task) >= MIN_LOST_WORKERS for task in tasks
         )
 
     def _lost_workers(self, task: model.TaskId) -> int:
-        """Returns how many workers have ended without a word under a task.
+        """Returns the number of workers that crashed while running a task.
 
-        A task may be given up for that, whatever ended them.
+        A task may be abandoned for that, whatever crashed the workers.
         """
         truth = self._site.oracle.jobs[task.job_id]
         return truth.crashes[task] + self._site.lost_under[task]
--- a/laburnumsill/platform/tests/test_soak.py
+++ b/laburnumsill/platform/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real daemons; docs/OPERATIONS.md tells of long ones."""
+"""Short soaks of real daemons; docs/OPERATIONS.md describes long ones."""
 
 import pathlib
 import subprocess
@@ -21,7 +21,8 @@
     11: "the soak took a second disk before the first was replaced",
     102: "two suspects shared a worker, and were blamed alike",
 }
-"""Seeds that broke a promise with all kinds of troubles, with the cause."""
+"""Seeds that once broke a promise with all kinds of troubles, each with its
+cause."""
 
 SPARE_SEEDS = (1, 2)
 
@@ -39,7 +40,7 @@
     + ONE_LOOP,
     460190237: "an order that a cut held back arrived after it was given up",
 }
-"""Seeds that ever broke a promise, each with its cause; see also
+"""Seeds that once broke a promise, each with its cause; see also
 docs/FINDINGS.md."""
 
 
@@ -91,10 +92,10 @@
 
 
 def test_settings_are_whole_whenever_a_daemon_reads_them(tmp_path):
-    """Troubles that overlap may start a VM while its daemon is starting.
+    """Overlapping troubles may start a VM while its daemon is already starting.
 
-    Each start writes the settings anew; a daemon that found them half written
-    ended, with bad settings and without a word of a failure.
+    Each start rewrites the settings. A daemon that reads a partly written file
+    ends because of invalid settings and logs no failure.
     """
     one = next(iter(layout.vms().values()))
     path = layout.write_settings(tmp_path, one, True)
