--- a/laburnumsill/platform/tests/role_site.py
+++ b/laburnumsill/platform/tests/role_site.py
@@ -1,6 +1,6 @@
-"""The roles of a site in one process: entries, core, workers, operator.
+"""Site whose core VMs, entries, workers and operator share one process.
 
-Each VM has a loopback address of its own, since its address is its id.
+Each VM has its own loopback address, since its address is its id.
 """
 
 import pathlib
@@ -47,7 +47,7 @@
         )
 
     def settings(self, vm: str, **changes) -> pathlib.Path:
-        """Writes a settings file as the platform would."""
+        """Writes a settings file like those of the platform."""
         seeds = ", ".join(f'"{s}:{self.control_port}"' for s in self.seeds)
         values = {
             "name": f'"{vm}"',
@@ -125,7 +125,7 @@
         self.nursery.start_soon(self._announce, worker)
 
     def restart_worker(self, name: str) -> None:
-        """Has a worker start again under its id; nothing is left of before."""
+        """Restarts a worker under the same id; its runs and ends are lost."""
         app = self.apps[name]
         old = app.worker
         old.crash()
@@ -150,7 +150,7 @@
             await trio.sleep(0.5)
 
     async def start(self) -> None:
-        """Starts a whole site with its first configuration."""
+        """Starts a complete site with a first configuration."""
         self.nursery.start_soon(self.pool.run)
         async with trio.open_nursery() as starting:
             for vm in self.seeds:
@@ -165,13 +165,13 @@
         await self.operator.until(200, "PUT", "/-/config", document)
 
     async def submit(self, queue: str, number: int, **step) -> str:
-        """Hands a job in and returns its path."""
+        """Submits a job and returns its path."""
         path, body = self.job(queue, number, **step)
         await self.callers.until(200, "POST", path, body)
         return path
 
     def job(self, queue: str, number: int, **step) -> tuple[str, dict]:
-        """Returns path and body of a job that may be accepted."""
+        """Returns the path and body of a job, which the oracle now expects."""
         job_id = f"{number:016x}"
         one = {"count": 1, "cpu": 1000, "mem_mb": 64, "gpu": 1, **step}
         terms = model.QueueTerms(standin.POOL, 0, 3)
--- a/laburnumsill/platform/tests/standin.py
+++ b/laburnumsill/platform/tests/standin.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform: its executors, operator and clients.
+"""Fakes of the platform's executors, operator and callers.
 
-Written after the platform's published protocol. It lives here because it
-speaks the platform's names.
+They follow the platform's published protocol. They are part of this package
+because they use the names of that protocol.
 """
 
 import contextlib
@@ -68,7 +68,7 @@
 
 
 def job_body(job: model.Job) -> dict:
-    """Returns a job as its caller hands it in; what is empty is left out."""
+    """Returns the body with which a caller submits a job."""
     return {
         "spec": job.payload,
         "steps": [
@@ -90,7 +90,7 @@
 
 
 def wire_id(worker: emulated.EmulatedWorker) -> str:
-    """Returns the id of a worker on the wire, which its next life may have."""
+    """Returns a worker's id on the wire, which incarnations may share."""
     return worker.worker.worker_id.partition("@")[0]
 
 
@@ -113,7 +113,7 @@
         worker = self.worker
         status, answer = await self._answer(request, body)
         if worker.is_down:
-            return  # it has crashed, and answers nothing
+            return  # a crashed worker does not answer
         answer["clock_ms"] = self.worker.clock_ms
         await http.send_answer(send, http.json_answer(status, answer))
 
@@ -178,7 +178,7 @@
 
 
 class Caller:
-    """Calls daemons by their addresses, one after the other."""
+    """HTTP client that calls daemons by their addresses."""
 
     def __init__(self, addresses: list[str]) -> None:
         self.addresses = addresses
@@ -187,14 +187,14 @@
     async def call(
         self, method, path, body=None, address=None, key=KEY, host=HOST
     ):
-        """Returns status and JSON of the answer, (0, None) without one."""
+        """Returns status and JSON of the answer, or (0, None) without one."""
         content = b"" if body is None else json.dumps(body).encode()
         return await self.send(method, path, content, address, key, host)
 
     async def send(
         self, method, path, content, address=None, key=KEY, host=HOST
     ):
-        """Like `call`, with the bytes of the body."""
+        """Calls like `call`, with a body of raw bytes."""
         headers = {
             "Host": host,
             "Authorization": f"Bearer {key}",
@@ -212,7 +212,8 @@
                 )
                 raw = response.content
                 return response.status, json.loads(raw) if raw else None
-        # Connections go silent all at once; each would cost 3 s of its own.
+        # Connections are silenced together, so the other idle connections are
+        # closed too; each would cost a timeout of 3 s.
         await http_pools.close_idle(self._pool)
         return 0, None
 
--- a/laburnumsill/platform/tests/test_announcements.py
+++ b/laburnumsill/platform/tests/test_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements from anyone: sound ones are passed on, all others refused."""
+"""Tests that valid announcements are forwarded and all others rejected."""
 
 import json
 
@@ -118,13 +118,13 @@
 
 
 class Intake:
-    """Takes what the application passes on."""
+    """Records the announcements that the application forwards."""
 
     def __init__(self):
         self.taken = []
 
     async def announce(self, announcement):
-        codec.encode(announcement)  # the way to the leader
+        codec.encode(announcement)  # as when it is forwarded to the leader
         self.taken.append(announcement)
         return "127.0.0.1"
 
@@ -134,7 +134,7 @@
 
 
 class Border:
-    """The application of operators and workers, without a network."""
+    """Calls the application of operators and workers without a network."""
 
     def __init__(self):
         self.intake = Intake()
@@ -176,7 +176,7 @@
 
 
 def bad_bodies():
-    """Yields what names no worker to use, each by a name of its own."""
+    """Yields invalid announcements, each with a distinct name."""
     for field in REQUIRED:
         without = {key: SOUND[key] for key in SOUND if key != field}
         yield f"without {field}", json.dumps(without).encode()
@@ -188,35 +188,35 @@
         yield f"{raw[:20]!r}..{raw[-20:]!r}", raw
 
 
-def refusal_of(raw, worker_id="i-1", method="PUT"):
-    """Returns what is wrong with the way a bad announcement is refused."""
+def rejection_fault(raw, worker_id="i-1", method="PUT"):
+    """Returns the fault in the rejection of a bad announcement, or ""."""
     border = Border()
     try:
         status, answer = border.put(raw, worker_id, method)
-    except Exception as error:  # noqa: BLE001  # no bad body may get so far
+    except Exception as error:  # noqa: BLE001  # no bad body may raise
         return f"{type(error).__name__}"
     if border.intake.taken:
-        return "taken"
+        return "forwarded"
     if status != 400 or answer["type"] != "malformed-announcement":
         return f"{status} {answer}"
     if len(border.lines) != 1 or " reason=" not in border.lines[0]:
         return f"{border.lines}"
     if border.put(SOUND_RAW)[0] != 200:
-        return "the next sound one is not taken"
+        return "the next valid one is rejected"
     return ""
 
 
-def test_a_bad_announcement_names_no_worker_and_disturbs_nothing():
-    wrong = {name: refusal_of(raw) for name, raw in bad_bodies()}
+def test_a_bad_announcement_is_rejected_without_effect():
+    wrong = {name: rejection_fault(raw) for name, raw in bad_bodies()}
     for worker_id in WRONG_IDS:
         for method in ("PUT", "DELETE"):
             name = f"{method} with id {worker_id!r:.20}"
-            wrong[name] = refusal_of(SOUND_RAW, worker_id, method)
-    found = [f"{name}: {what}" for name, what in wrong.items() if what]
+            wrong[name] = rejection_fault(SOUND_RAW, worker_id, method)
+    found = [f"{name}: {fault}" for name, fault in wrong.items() if fault]
     assert not found, "\n".join(found)
 
 
-def test_sound_announcements_are_passed_on():
+def test_valid_announcements_are_forwarded():
     border = Border()
     more = {**SOUND, "state": "draining", "remaining_ms": 4000, "new": [1, {}]}
     for changes in ({}, more, {"labels": []}, {"address": "[::1]:1"}):
@@ -233,7 +233,7 @@
     assert first.worker.capacity == model.Resources(16000, 32768, 0)
 
 
-def test_lives_of_one_id_are_told_apart_by_when_they_began():
+def test_incarnations_of_one_id_differ_by_their_start_time():
     border = Border()
     for born in (1_700_000_000_000, 1_700_000_005_000):
         assert (
--- a/laburnumsill/platform/tests/test_border.py
+++ b/laburnumsill/platform/tests/test_border.py
@@ -1,4 +1,7 @@
-"""Whatever callers and operators send is taken whole or refused, typed."""
+"""Tests that any input of callers and operators is accepted or rejected.
+
+A rejection is an error answer; no input may raise an unexpected exception.
+"""
 
 import json
 
@@ -52,22 +55,22 @@
 
 
 def altered(document):
-    """Returns a strategy for a document with another value somewhere."""
+    """Returns a strategy for a document with one value replaced."""
 
     def put(choice):
         path, value = choice
         copy = json.loads(json.dumps(document))
-        place = copy
+        parent = copy
         for key in path[:-1]:
-            place = place[key]
-        place[path[-1]] = value
+            parent = parent[key]
+        parent[path[-1]] = value
         return copy
 
-    paths = list(places(document))
+    paths = list(value_paths(document))
     return st.tuples(st.sampled_from(paths), VALUES).map(put)
 
 
-def places(document, path=()):
+def value_paths(document, path=()):
     """Yields the path of each value within a document."""
     members = []
     if isinstance(document, dict):
@@ -76,11 +79,11 @@
         members = list(enumerate(document))
     for key, value in members:
         yield (*path, key)
-        yield from places(value, (*path, key))
+        yield from value_paths(value, (*path, key))
 
 
 class Border:
-    """Both applications before one ledger."""
+    """Both applications with a shared ledger."""
 
     def __init__(self):
         clock = trio_clock.TrioClock()
@@ -158,27 +161,30 @@
     assert in_force == (raw if is_newer else first)
 
 
-def test_any_time_that_a_caller_waits_is_borne():
+def test_any_deadline_header_is_tolerated():
     for text in ("", "0", "9" * 5_000, "-1", "1.5", "x", "²", "0" * 5_000):
         status, answer = Border().submit(JOB, **{"x-deadline-ms": text})
         assert status == 200, (text[:9], answer)
 
 
-def test_numbers_out_of_all_bounds_are_refused():
-    """The log carries 64 bits; a job that no worker may run waits for ever."""
+def test_numbers_out_of_range_are_rejected():
+    """Integers of the log have 64 bits, and negative limits are invalid.
+
+    A job that no worker may run would wait forever.
+    """
     wrong = []
-    for path in places(JOB):
+    for path in value_paths(JOB):
         copy = json.loads(json.dumps(JOB))
-        place = copy
+        parent = copy
         for key in path[:-1]:
-            place = place[key]
-        if type(place[path[-1]]) is not int:
+            parent = parent[key]
+        if type(parent[path[-1]]) is not int:
             continue
         numbers = [10**30, -(10**30)]
         if path[-1] in ("estimate_ms", "max_per_server", "cpu", "count"):
             numbers.append(-1)
         for number in numbers:
-            place[path[-1]] = number
+            parent[path[-1]] = number
             try:
                 status, _ = Border().submit(copy)
             except OverflowError:
@@ -216,7 +222,7 @@
 ]
 
 
-async def test_bytes_that_are_no_request_disturb_no_other_connection(nursery):
+async def test_invalid_requests_do_not_affect_other_connections(nursery):
     border = Border()
     address = f"127.0.0.1:{ports.free_ports(1)[0]}"
     stop = trio.Event()
@@ -225,13 +231,13 @@
     )
     other = standin.Caller([address])
     path = "/-/instances/i-1"
-    sound = test_announcements.SOUND
+    valid = test_announcements.SOUND
     for raw in GARBAGE:
         stream = await trio.open_tcp_stream("127.0.0.1", int(address[10:]))
         await stream.send_all(raw)
         with trio.move_on_after(0.1):
             await stream.receive_some()
         await stream.aclose()
-        assert (await other.call("PUT", path, sound))[0] == 200, raw[:40]
+        assert (await other.call("PUT", path, valid))[0] == 200, raw[:40]
     await other.aclose()
     nursery.cancel_scope.cancel()
--- a/laburnumsill/platform/tests/test_caller_app.py
+++ b/laburnumsill/platform/tests/test_caller_app.py
@@ -1,4 +1,4 @@
-"""The callers' application without the rest of an entry VM."""
+"""Tests of the callers' application without the rest of an entry VM."""
 
 import json
 
@@ -14,7 +14,7 @@
 
 
 class Front(caller_app.Front):
-    """An entry VM in a state that a test sets."""
+    """Fake daemon of an entry VM, whose state a test sets."""
 
     def __init__(self):
         document = json.dumps(standin.configuration(1)).encode()
@@ -69,7 +69,7 @@
         ("/urgent/", "no-key", 401),
     ],
 )
-async def test_what_a_newer_version_may_have_is_not_refused_for_good(
+async def test_unknown_names_get_503_if_a_newer_version_may_have_them(
     path, key, refusal
 ):
     front = Front()
--- a/laburnumsill/platform/tests/test_days.py
+++ b/laburnumsill/platform/tests/test_days.py
@@ -1,4 +1,4 @@
-"""The day files of `deploy/days` can be read and say what they are for."""
+"""Tests that the day files of `deploy/days` are valid and documented."""
 
 import pathlib
 import tomllib
@@ -11,7 +11,7 @@
 
 
 def troubles(day: dict) -> list[dict]:
-    """Returns the planned work and the faults of a day."""
+    """Returns the planned operations and the faults of a day."""
     return day.get("plan", []) + day.get("faults", [])
 
 
@@ -32,7 +32,7 @@
     assert FILES
 
 
-def test_a_comment_at_the_head_says_what_the_day_guards_against(path):
+def test_a_day_file_begins_with_a_comment(path):
     lines = path.read_text().splitlines()
     head = lines[: lines.index("")]
     assert head
@@ -44,14 +44,14 @@
     assert day["name"] == path.stem
 
 
-def test_a_day_brings_troubles_of_some_kind_at_some_time(day):
+def test_the_troubles_of_a_day_have_a_kind_and_a_valid_time(day):
     assert troubles(day)
     for trouble in troubles(day):
         assert trouble["kind"]
         assert 0 <= trouble["at"] < day["length_s"]
 
 
-def test_a_day_names_no_place_of_one_site(day):
+def test_a_day_refers_to_no_specific_place(day):
     for trouble in troubles(day):
         for place in PLACES:
             assert trouble.get(place, "@").startswith("@")
--- a/laburnumsill/platform/tests/test_decoding.py
+++ b/laburnumsill/platform/tests/test_decoding.py
@@ -71,7 +71,7 @@
         {"routes": None},
     ],
 )
-def test_what_is_invalid_is_refused(changes):
+def test_an_invalid_configuration_is_rejected(changes):
     with pytest.raises(errors.InvalidConfigurationError):
         decoding.configuration(raw(**changes))
 
@@ -126,6 +126,6 @@
         {"steps": [{"count": 1}], "spec": "x" * 4001},
     ],
 )
-def test_a_job_that_makes_no_sense_is_refused(body):
+def test_an_invalid_job_is_rejected(body):
     with pytest.raises(decoding.MalformedBodyError):
         job(**body)
--- a/laburnumsill/platform/tests/test_final_faults.py
+++ b/laburnumsill/platform/tests/test_final_faults.py
@@ -1,4 +1,4 @@
-"""All VMs of a site lose power, entries too, while a disk is lost."""
+"""Tests of a power loss of all VMs in which a core VM also loses its disk."""
 
 import shutil
 
@@ -7,11 +7,11 @@
 from laburnumsill.platform.tests import standin
 
 ENTRY = "127.0.77.11"
-SERVED_AGAIN_S = 12.0
+RECOVERY_TIMEOUT_S = 12.0
 
 
 @pytest.mark.parametrize("loses", ["leader", "follower"])
-async def test_a_disk_lost_while_all_lose_power_loses_nothing(site, loses):
+async def test_a_power_loss_with_a_lost_disk_loses_no_data(site, loses):
     leader = await site.until_leader()
     other = next(vm for vm in site.seeds if vm != leader)
     site.work_s = 2.0
@@ -27,7 +27,7 @@
     for vm in site.seeds:
         await site.start_core(vm, founding=False)
     held = await site.operator.until(
-        200, "GET", "/-/config", within=SERVED_AGAIN_S
+        200, "GET", "/-/config", within=RECOVERY_TIMEOUT_S
     )
     assert held["version"] == 7
     later = await site.submit("urgent", 61)
--- a/laburnumsill/platform/tests/test_http.py
+++ b/laburnumsill/platform/tests/test_http.py
@@ -1,4 +1,4 @@
-"""Requests whose callers fall silent in the middle."""
+"""Tests of requests whose callers stop sending before the end of the body."""
 
 import pytest
 import trio
@@ -6,47 +6,47 @@
 
 from laburnumsill.platform import http
 
-PATIENCE_S = 60.0
-"""Longer than any caller of the users waits for anything."""
+TEST_TIMEOUT_S = 60.0
+"""Longer than any timeout of the users' callers."""
 
 
 class Caller:
-    """Sends pieces of a body with pauses between them.
+    """Sends chunks of a body with pauses between them.
 
     Args:
-        pieces: Pairs of a pause, in seconds, and a piece; b"" is the end.
+        chunks: Pairs of a pause in seconds and a chunk; b"" ends the body.
     """
 
-    def __init__(self, *pieces):
-        self._pieces = list(pieces)
+    def __init__(self, *chunks):
+        self._chunks = list(chunks)
 
     async def receive(self):
-        if not self._pieces:
+        if not self._chunks:
             await trio.sleep_forever()
-        pause_s, piece = self._pieces.pop(0)
+        pause_s, chunk = self._chunks.pop(0)
         await trio.sleep(pause_s)
         return {
             "type": "http.request",
-            "body": piece,
-            "more_body": piece != b"",
+            "body": chunk,
+            "more_body": chunk != b"",
         }
 
 
-def read(*pieces):
+def read(*chunks):
     async def main():
-        with trio.fail_after(PATIENCE_S):
-            return await http.read_body(Caller(*pieces).receive)
+        with trio.fail_after(TEST_TIMEOUT_S):
+            return await http.read_body(Caller(*chunks).receive)
 
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-@pytest.mark.parametrize("pieces", [(), ((0.0, b"{"),)])
-def test_a_caller_that_falls_silent_is_not_waited_for_for_ever(pieces):
-    """Its connection would keep a descriptor for good."""
+@pytest.mark.parametrize("chunks", [(), ((0.0, b"{"),)])
+def test_a_body_whose_next_chunk_does_not_arrive_times_out(chunks):
+    """Without a timeout, the connection holds its file descriptor forever."""
     with pytest.raises(http.BodyLateError):
-        read(*pieces)
+        read(*chunks)
 
 
-def test_a_slow_caller_is_read_to_its_end():
-    pieces = [(5.0, b"x")] * 8
-    assert read(*pieces, (5.0, b"")) == b"x" * 8
+def test_the_body_of_a_slow_caller_is_read_completely():
+    chunks = [(5.0, b"x")] * 8
+    assert read(*chunks, (5.0, b"")) == b"x" * 8
--- a/laburnumsill/platform/tests/test_reports.py
+++ b/laburnumsill/platform/tests/test_reports.py
@@ -1,4 +1,4 @@
-"""Answers of workers: a row that makes no sense hides no other one."""
+"""Tests that an invalid row of a report does not affect the other rows."""
 
 import json
 
@@ -73,7 +73,7 @@
 
 
 def ask(raw, lines, status=200):
-    """Returns the report that a worker's answer makes."""
+    """Returns the report that the client decodes from a worker's answer."""
     client = workers.PlatformWorkerClient(trio_clock.TrioClock())
     client._pools = Pools(status, raw)
     order = worker_client.ReportOrder(None, 1, 0, 0)
@@ -107,17 +107,17 @@
     assert report.clock_ms == 482113 and not lines
 
 
-def test_a_bad_row_hides_no_other_one():
+def test_a_bad_row_does_not_affect_the_others():
     wrong = []
     for field, rows in (
         ("running", BAD_RUNNING_ROWS),
         ("ended", BAD_ENDED_ROWS),
     ):
-        sound = RUNNING_ROW if field == "running" else ENDED_ROW
+        valid = RUNNING_ROW if field == "running" else ENDED_ROW
         for row in rows:
             lines = []
             try:
-                report = ask(answer(**{field: [row, sound]}), lines)
+                report = ask(answer(**{field: [row, valid]}), lines)
             except worker_client.NoAnswerError:
                 wrong.append(f"{field} {row!r}: all rows were refused")
                 continue
@@ -146,18 +146,18 @@
         answer(ended=None),
     ],
 )
-def test_an_answer_that_is_no_report_is_none(raw):
+def test_an_invalid_report_counts_as_no_answer(raw):
     with pytest.raises(worker_client.NoAnswerError):
         ask(raw, [])
 
 
 @pytest.mark.parametrize("clock_ms", [10**30, -1])
-def test_a_clock_out_of_all_bounds_is_no_answer(clock_ms):
+def test_a_report_with_a_clock_out_of_range_counts_as_no_answer(clock_ms):
     with pytest.raises(worker_client.NoAnswerError):
         ask(answer(clock_ms=clock_ms), [])
 
 
-def test_a_deeply_nested_answer_is_none():
+def test_a_deeply_nested_report_counts_as_no_answer():
     deep = b'{"clock_ms": 1, "x": ' + b"[" * 100_000 + b"]" * 100_000 + b"}"
     with pytest.raises(worker_client.NoAnswerError):
         ask(deep, [])
@@ -182,27 +182,29 @@
     return ask(raw, [])
 
 
-def test_a_report_of_the_life_that_was_asked_is_taken(monkeypatch):
+def test_a_report_of_the_queried_incarnation_is_accepted(monkeypatch):
     assert ask_named(monkeypatch, answer(born=BORN_MS)).ended
 
 
-def test_a_report_of_another_life_ends_the_one_that_was_asked(monkeypatch):
+def test_a_report_of_another_incarnation_replaces_the_queried_one(monkeypatch):
     with pytest.raises(worker_client.IncarnationReplacedError):
         ask_named(monkeypatch, answer(born=BORN_MS + 1))
 
 
-def test_a_report_that_does_not_say_its_life_is_no_answer(monkeypatch):
+def test_a_report_without_a_start_time_counts_as_no_answer(monkeypatch):
     with pytest.raises(worker_client.NoAnswerError):
         ask_named(monkeypatch, answer())
 
 
 @pytest.mark.parametrize("born", ["1", 1.5, None, -1, True, 2**60, [1]])
-def test_a_report_with_a_start_that_is_no_time_is_no_answer(monkeypatch, born):
+def test_a_report_with_an_invalid_start_time_counts_as_no_answer(
+    monkeypatch, born
+):
     with pytest.raises(worker_client.NoAnswerError):
         ask_named(monkeypatch, answer(born=born))
 
 
-def test_a_worker_known_from_before_its_life_was_told_is_replaced():
-    """Whether it is the same life cannot be told."""
+def test_a_worker_known_without_a_start_time_is_replaced():
+    """A worker known without a start time may be another incarnation."""
     with pytest.raises(worker_client.IncarnationReplacedError):
         ask(answer(born=BORN_MS), [])
--- a/laburnumsill/platform/tests/test_restarted_workers.py
+++ b/laburnumsill/platform/tests/test_restarted_workers.py
@@ -1,4 +1,4 @@
-"""Workers that start again under the ids that they had."""
+"""Tests of workers that restart under the same id."""
 
 import trio
 
@@ -8,8 +8,11 @@
         await site.callers.until_state(path, "completed", within=15)
 
 
-async def test_ends_of_a_worker_that_started_again_are_taken_note_of(site):
-    """It numbers its ends anew, so their numbers were noted before."""
+async def test_ends_of_a_restarted_worker_are_recorded(site):
+    """A restarted worker starts the numbering of its ends anew.
+
+    The same numbers were recorded for the ends of its last incarnation.
+    """
     before = [await site.submit("batch", n, count=4) for n in range(70, 74)]
     await completed(site, before)
     for name in ("w0", "w1"):
@@ -19,7 +22,7 @@
     await completed(site, after)
 
 
-async def test_runs_of_an_earlier_life_are_started_again(site):
+async def test_runs_of_an_earlier_incarnation_are_restarted(site):
     site.work_s = 2.0
     paths = [await site.submit("sweep", n, count=4) for n in range(80, 84)]
     for _ in range(2):
--- a/laburnumsill/platform/tests/test_roles.py
+++ b/laburnumsill/platform/tests/test_roles.py
@@ -1,4 +1,4 @@
-"""The roles of a site, see `role_site`."""
+"""Tests of core VMs, entries and workers together, see `role_site`."""
 
 import shutil
 
@@ -14,10 +14,10 @@
 from laburnumsill.platform.tests import standin
 from laburnumsill.platform.tests import test_announcements
 
-AT_ONCE_S = 0.3
+IMMEDIATE_S = 0.3
 
 
-async def test_jobs_go_the_whole_way(site):
+async def test_submitted_jobs_complete(site):
     gang = await site.submit("urgent", 1, count=2, gpu=8, gang=True)
     small = await site.submit("batch", 2, count=3)
     await site.callers.until_state(gang, "completed")
@@ -25,13 +25,13 @@
     again = await site.callers.call(
         "POST", small, {"spec": "text", "steps": [{"count": 3}]}
     )
-    assert again[0] == 200  # the same id again: it stays one job
+    assert again[0] == 200  # the same id again is the same job
     assert await site.callers.call("GET", "/batch/") == (200, {"pending": 0})
     assert (await site.callers.call("GET", f"/sweep/{7:016x}"))[0] == 410
     assert (await site.callers.call("DELETE", f"/sweep/{7:016x}"))[0] == 410
 
 
-async def test_calls_that_are_not_allowed_get_clear_answers(site):
+async def test_invalid_calls_get_error_answers(site):
     call = site.callers.call
     job = f"/urgent/{3:016x}"
     body = {"spec": "", "steps": [{"count": 1}]}
@@ -58,7 +58,7 @@
             await trio.sleep(0.05)
 
 
-async def test_the_loss_of_the_leader_loses_no_job(site):
+async def test_a_lost_leader_loses_no_job(site):
     site.work_s = 2.0
     paths = [await site.submit("batch", n, count=4) for n in range(10, 13)]
     await site.kill(await site.until_leader())
@@ -69,20 +69,20 @@
 
 @pytest.fixture
 def full_disks(monkeypatch):
-    """The data folders on which nothing can be written."""
+    """Data folders in which every write fails with a full disk."""
     folders = set()
     real = durable_files.write_all
 
     def write_all(descriptor, raw, path):
         if folders & set(path.parents):
-            raise store.DiskFullError(f"{path}: no room")
+            raise store.DiskFullError(f"{path}: no space")
         real(descriptor, raw, path)
 
     monkeypatch.setattr(durable_files, "write_all", write_all)
     return folders
 
 
-async def test_jobs_go_on_while_the_leader_s_disk_is_full(site, full_disks):
+async def test_jobs_continue_while_the_leader_s_disk_is_full(site, full_disks):
     full = await site.until_leader()
     before = await site.submit("batch", 40, count=2)
     full_disks.add(site.folder / full)
@@ -118,7 +118,7 @@
         began = trio.current_time()
         status, _ = await site.callers.call("POST", path, body)
         assert status in (503, 504)
-        if status == 503 and trio.current_time() - began < AT_ONCE_S:
+        if status == 503 and trio.current_time() - began < IMMEDIATE_S:
             refused = path
             break
     assert refused
@@ -165,19 +165,19 @@
             await trio.sleep(0.1)
     other = next(vm for vm in site.seeds if vm != lost)
     await trio.sleep(1.5)
-    await site.kill(other)  # a second loss is borne now
+    await site.kill(other)  # tolerated, since the first VM has caught up
     path = await site.submit("urgent", 31)
     await site.callers.until_state(path, "completed", within=20)
 
 
-async def test_the_scheduler_of_a_vm_that_joined_later_hears_of_commands(
+async def test_the_scheduler_of_a_vm_that_joined_later_observes_commands(
     site, monkeypatch
 ):
-    """It would plan every half second only, were it to lead."""
-    heard = []
+    """A leader that misses commands plans only every half second."""
+    observed = []
 
     def on_command(self, command):
-        heard.append((self, type(command)))
+        observed.append((self, type(command)))
 
     monkeypatch.setattr(schedulers.Scheduler, "on_command", on_command)
     spare = "127.0.77.4"
@@ -191,7 +191,7 @@
             await trio.sleep(0.1)
     await site.submit("batch", 33)
     with trio.fail_after(5):
-        while (joined, caller_commands.SubmitJob) not in heard:  # noqa: ASYNC110
+        while (joined, caller_commands.SubmitJob) not in observed:  # noqa: ASYNC110
             await trio.sleep(0.05)
 
 
@@ -210,7 +210,7 @@
             await trio.sleep(0.1)
 
 
-async def test_configurations_only_go_forward(site):
+async def test_the_version_in_force_only_increases(site):
     call = site.operator.call
     newer = standin.configuration(9)
     newer["tenants"][0]["api_keys"] = ["another-key"]
@@ -223,7 +223,7 @@
     assert (await call("PUT", "/-/config", bad))[0] == 400
     for address in site.operator.addresses:
         assert await call("GET", "/-/config", address=address) == (200, newer)
-    with trio.fail_after(2):  # the key that was taken away stops working
+    with trio.fail_after(2):  # the removed key stops working
         while True:
             status, _ = await site.callers.call("GET", "/sweep/")
             if status == 401:
@@ -231,7 +231,7 @@
             await trio.sleep(0.05)
 
 
-async def test_an_entry_without_the_core_refuses_at_once(site):
+async def test_an_entry_without_the_core_rejects_calls_at_once(site):
     leader = await site.until_leader()
     for vm in site.seeds:
         if vm != leader:
@@ -251,7 +251,7 @@
     assert ready == 503
 
 
-async def test_an_entry_that_stops_says_so_and_answers_what_is_open(site):
+async def test_a_stopping_entry_is_unready_and_still_answers(site):
     entry = site.daemons["127.0.77.11"]
     path = await site.submit("batch", 40)
     entry.stop()
@@ -272,16 +272,16 @@
     assert site.apps["w1"].calls.count("/-/run-start") == 4
 
 
-async def test_bad_announcements_disturb_nobody(site):
-    """Each VM of the core gets all of them, under the id of a worker too."""
-    sound = standin.heartbeat(site.pool.workers["w0"], 10**6)
+async def test_bad_announcements_have_no_effect(site):
+    """Each core VM receives all of them, under a known and an unknown id."""
+    valid = standin.heartbeat(site.pool.workers["w0"], 10**6)
     for name, raw in test_announcements.bad_bodies():
         for vm in site.seeds:
             path = f"/-/instances/{'w0' if len(name) % 2 else 'i-new'}"
             address = f"{vm}:{site.control_port}"
             status, answer = await site.operator.send("PUT", path, raw, address)
             assert (status, answer["type"]) == (400, "malformed-announcement")
-    stray = {**sound, "service": "nobody's"}
+    stray = {**valid, "service": "nobody's"}
     status, _ = await site.operator.call("PUT", "/-/instances/w0", stray)
     assert status == 409
     status, _ = await site.operator.call("PUT", "/-/instances/i-new", stray)
@@ -291,10 +291,13 @@
     assert not any(ended.is_set() for ended in site.ended.values())
 
 
-async def test_a_late_announcement_of_a_crashed_worker_brings_nothing_back(
+async def test_a_late_announcement_does_not_restore_a_crashed_worker(
     site,
 ):
-    """The new worker at its address does all the work."""
+    """An announcement of a replaced worker does not restore the old worker.
+
+    The new worker at its address gets the work.
+    """
     old = site.pool.workers["w0"]
     late = standin.heartbeat(old, 10**6)
     old.vanish()
--- a/laburnumsill/platform/tests/test_spare_vm.py
+++ b/laburnumsill/platform/tests/test_spare_vm.py
@@ -1,19 +1,19 @@
-"""A core VM beyond those that vote."""
+"""Tests of a core VM that is not an initial voter."""
 
 import trio
 
 from laburnumsill.platform.tests import standin
 
 SPARE = "127.0.77.4"
-KNOWN_AFTER_S = 3.0
-DARK_S = 3.0
-"""A voter that is away for so long has been replaced."""
+ANNOUNCE_TIMEOUT_S = 3.0
+DOWNTIME_S = 3.0
+"""Downtime after which a voter has been replaced."""
 
-BACK_S = 1.5
+RESTART_WAIT_S = 1.5
 IN_FORCE_S = 2.0
 
 
-async def test_a_spare_vm_passes_announcements_on(site):
+async def test_a_spare_vm_forwards_announcements(site):
     await site.until_leader()
     await site.start_core(SPARE)
     worker = site.apps["w0"].worker
@@ -23,7 +23,7 @@
         "PUT",
         f"/-/instances/{standin.wire_id(worker)}",
         standin.heartbeat(worker, 1_000),
-        within=KNOWN_AFTER_S,
+        within=ANNOUNCE_TIMEOUT_S,
     )
     await spare.aclose()
     assert answer["heartbeat_addr"] == f"{site.leader()}:{site.control_port}"
@@ -38,16 +38,19 @@
     return document
 
 
-async def test_a_change_is_in_force_in_time_whoever_votes_no_more(site):
-    """Each core VM in turn is away and replaced; an entry may prefer any."""
+async def test_a_change_is_in_force_in_time_after_voters_are_replaced(site):
+    """Each core VM in turn is down and replaced.
+
+    The entry may read the configuration from any of them.
+    """
     await site.until_leader()
     await site.start_core(SPARE)
-    await trio.sleep(BACK_S)
+    await trio.sleep(RESTART_WAIT_S)
     for number, vm in enumerate([*site.seeds, SPARE]):
         await site.kill(vm)
-        await trio.sleep(DARK_S)
+        await trio.sleep(DOWNTIME_S)
         await site.start_core(vm)
-        await trio.sleep(BACK_S)
+        await trio.sleep(RESTART_WAIT_S)
         version = 10 + number
         await site.configure(configuration_with(version))
         await site.callers.until(
--- a/laburnumsill/platform/tests/test_standin.py
+++ b/laburnumsill/platform/tests/test_standin.py
@@ -1,4 +1,4 @@
-"""What stands in for the platform's executors behaves as they do."""
+"""Tests of the fakes of the platform's executors and callers."""
 
 import contextlib
 import functools
@@ -9,15 +9,15 @@
 from laburnumsill.testing import proxy as proxies
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
-AT_ONCE = 5
+CONCURRENT_CALLS = 5
 
 
-async def gone():
-    """Receives that the caller has gone."""
+async def receive_disconnect():
+    """Returns the ASGI message for a caller that disconnected."""
     return {"type": "http.disconnect"}
 
 
-async def test_a_caller_that_goes_away_ends_its_call_quietly():
+async def test_a_disconnect_ends_a_call_without_an_answer():
     sent = []
 
     async def send(message):
@@ -25,18 +25,23 @@
 
     app = standin.ExecutorApp(worker=None)
     scope = {"type": "http", "method": "POST", "path": "/-/hold"}
-    await app({**scope, "headers": []}, gone, send)
+    await app({**scope, "headers": []}, receive_disconnect, send)
     assert not sent
     assert not app.calls
 
 
-async def test_a_caller_tries_no_second_connection_that_went_silent():
-    """A soak asks for service within 12 s; a silent connection costs 3 s."""
+async def test_a_caller_closes_all_idle_connections_after_a_timeout():
+    """Each silenced connection costs a timeout of 3 s.
+
+    A soak requires the site to serve again within 12 s.
+    """
 
     async def answer(stream):
         with contextlib.suppress(trio.BrokenResourceError):
             while await stream.receive_some():
-                await trio.sleep(0.05)  # so that calls at once share nothing
+                await trio.sleep(
+                    0.05
+                )  # so that concurrent calls share no connection
                 await stream.send_all(HEAD + b"{}")
 
     async with proxies.running() as proxy, trio.open_nursery() as nursery:
@@ -46,9 +51,9 @@
         proxy.add_link("a", "127.0.0.1:0", f"127.0.0.1:{port}")
         caller = standin.Caller([proxy.status("a").listen])
         async with trio.open_nursery() as calls:
-            for _ in range(AT_ONCE):
+            for _ in range(CONCURRENT_CALLS):
                 calls.start_soon(caller.call, "GET", "/")
-        assert proxy.status("a").connections == AT_ONCE
+        assert proxy.status("a").connections == CONCURRENT_CALLS
         proxy.silence("a")
         assert await caller.call("GET", "/") == (0, None)
         assert await caller.call("GET", "/") == (200, {})
